--- a/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
@@ -43,10 +43,16 @@
 
     private fun place(term: ULong) {
         inFlight.values.removeIf { f -> f.keys.none { context.isBusy(it) } }
-        // Asked before anything is looked at: while changes were scarce, sorting the waiting jobs each turn was in vain.
+        // Asked before anything is looked at: while changes were scarce, sorting the waiting jobs each turn was in
+        // vain.
         if (!context.maySpend(Cause.ARRAY, 1)) return
         val w = context.view
-        val pending = w.jobs.values.filter { !it.isGang && !it.cancelled && it.pendingCount > 0 && it.retryAtMs <= context.nowMs }
+        val pending = w.jobs.values.filter {
+            !it.isGang &&
+                !it.cancelled &&
+                it.pendingCount > 0 &&
+                it.retryAtMs <= context.nowMs
+        }
         val (waiting, underWay) = pending.partition { it.id !in inFlight && !context.isBusy(StoreKeys.JOB + it.id) }
         waitingSinceNs.keys.retainAll(waiting.mapTo(HashSet()) { it.id })
         if (waiting.isEmpty()) return
@@ -73,13 +79,16 @@
             val fit = fit(job, seats).filter { held.offered(job.spec, it) }
             val placed = if (fit.isEmpty()) 0 else placeJob(job, fit, use, term)
             val missing = minOf(job.pendingCount - placed, context.allows(job, use))
-            // At its team's limit a job without a machine lost each place that came free to those after it, for minutes.
+            // At its team's limit a job without a machine lost each place that came free to those after it, for
+            // minutes.
             if (placed == 0 && context.waitedLong(job)) use.add(job.spec.owner, job.spec.need)
             if (missing > 0 && !job.suspect) held.hold(job.spec, missing / members + 1, seats) { suits(job, it) }
         }
     }
 
-    /** Our machines that take arrays now and have at least so much room, less what placements on their way have taken. */
+    /**
+     * Our machines that take arrays now and have at least so much room, less what placements on their way have taken.
+     */
     private fun seats(least: Room): List<Seat> {
         val w = context.view
         cheapKnown = w.machines.values.any { it.preemptible }
@@ -96,11 +105,15 @@
     }
 
     /** The seats that a task of [job] may take. */
-    private fun fit(job: Job, seats: List<Seat>): List<Seat> = seats.filter { it.free.holds(job.spec.need) && suits(job, it) }
+    private fun fit(job: Job, seats: List<Seat>): List<Seat> = seats.filter {
+        it.free.holds(job.spec.need) &&
+            suits(job, it)
+    }
 
     private fun suits(job: Job, s: Seat): Boolean {
         val m = s.machine
-        // Left to others that can use no other kind: filled by what loses little when it makes way, or has waited too long.
+        // Left to others that can use no other kind: filled by what loses little when it makes way, or has waited too
+        // long.
         if (!context.reserved.rents(job.spec, m.machineType, m.preemptible)) {
             return context.waitedLong(job) ||
                 context.reserved.fills(job.spec, m.machineType, m.preemptible) &&
@@ -110,13 +123,17 @@
     }
 
     /**
-     * Whether [job], which cheap machines would do for, may hold an ordinary one. Work of a class without an aim fills those
-     * that wait for gangs; on others it kept hundreds of dear machines that had been rented for a burst.
+     * Whether [job], which cheap machines would do for, may hold an ordinary one. Work of a class without an aim fills
+     * those that wait for gangs; on others it kept hundreds of dear machines that had been rented for a burst.
      */
     private fun mayHoldDear(job: Job): Boolean = !cheapKnown ||
         context.aimed(job.spec.jobClass) ||
         context.waitedLong(job) ||
-        FleetRules.pressesWithoutAim((context.nowMs - job.submittedMs) / MILLIS_PER_SECOND, begun = job.placedCount + job.doneCount > 0)
+        FleetRules.pressesWithoutAim(
+            (context.nowMs - job.submittedMs) / MILLIS_PER_SECOND,
+            begun =
+            job.placedCount + job.doneCount > 0,
+        )
 
     /** Whether there are cheap machines at all. */
     private var cheapKnown = false
@@ -141,11 +158,15 @@
         val found = ArrayRound.place(job, seats, ZoneRule(job.spec, emptyList()), 0, ArrayRound.Limits(most))
         if (found.size < job.spec.taskCount) return null
         val next = job.place(found.mapValues { (_, s) -> Job.Host(s.machine.name, s.session) })
-        inFlight[job.id] = InFlightPlacement(listOf(StoreKeys.JOB + job.id), found.values.map { it.machine.name to job.spec.need })
+        inFlight[job.id] =
+            InFlightPlacement(listOf(StoreKeys.JOB + job.id), found.values.map { it.machine.name to job.spec.need })
         return Begun(next, TaskCompletion.write(job, next, term).conditions + versions(found.values))
     }
 
-    private fun versions(seats: Collection<Seat>) = seats.distinct().associate { StoreKeys.HOST + it.machine.name to it.machine.version }
+    private fun versions(seats: Collection<Seat>) = seats.distinct().associate {
+        StoreKeys.HOST + it.machine.name to
+            it.machine.version
+    }
 
     private var spoken: Set<String> = emptySet()
     private var nextSpokenNs = 0L
@@ -214,7 +235,15 @@
         } else {
             emptyList()
         }
-        val width = if (job.suspect) PROBES else ShortTasks.width(job.spec, readyS(job), context.settings.workers.reportS)
+        val width = if (job.suspect) {
+            PROBES
+        } else {
+            ShortTasks.width(
+                job.spec,
+                readyS(job),
+                context.settings.workers.reportS,
+            )
+        }
         val most = minOf(context.allows(job, use), MOST_PER_JOB, width - job.placedCount)
         val limits = ArrayRound.Limits(most, MOST_HOSTS, TaskCompletion.chunksAtOnce(context.settings.stateLimits))
         val found = ArrayRound.place(job, seats, ZoneRule(job.spec, zones), offset(job), limits) {
@@ -235,13 +264,23 @@
         val sent = context.commit(cause, Txn(base.conditions + hosts + fence, base.changes + bump)) { outcome ->
             if (outcome is Outcome.Committed) {
                 for ((i, s) in found) {
-                    log.info("job={} task={} attempt={} host={} term={} placed", job.id, i, next.placed(i)?.attempt, s.machine.name, term)
+                    log.info(
+                        "job={} task={} attempt={} host={} term={} placed",
+                        job.id,
+                        i,
+                        next.placed(i)?.attempt,
+                        s.machine.name,
+                        term,
+                    )
                 }
             } else {
                 log.debug("job={} placement outcome={}", job.id, outcome)
             }
         }
-        if (sent) inFlight[job.id] = InFlightPlacement(base.changes.map { it.key }, found.values.map { it.machine.name to job.spec.need })
+        if (sent) {
+            inFlight[job.id] =
+                InFlightPlacement(base.changes.map { it.key }, found.values.map { it.machine.name to job.spec.need })
+        }
         return found.size
     }
 
@@ -271,7 +310,9 @@
         /** Each machine is a condition of the write, and these may be four times as many as changes. */
         const val MOST_HOSTS = 64
 
-        /** What seems to be a mistake is tried with so many tasks at a time, not with all of an array again and again. */
+        /**
+         * What seems to be a mistake is tried with so many tasks at a time, not with all of an array again and again.
+         */
         const val PROBES = 2
 
         /** How often waiting gangs are counted against ordinary machines: a walk over all of these. */
--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -55,11 +55,13 @@
 }
 
 /**
- * Which task makes way first: the least urgent, then one that saves its progress, then the latest. A task that never saves
- * began anew each time: an idle array of three such tasks was at work for six minutes beside arrays that would have lost nothing.
+ * Which task makes way first: the least urgent, then one that saves its progress, then the latest. A task that never
+ * saves began anew each time: an idle array of three such tasks was at work for six minutes beside arrays that would
+ * have lost nothing.
  */
 object EvictionOrder : Comparator<OnHost> {
-    private val order = compareBy<OnHost>({ it.job.spec.priority }, { it.job.spec.saveEveryS <= 0.0 }, { -it.job.submittedMs })
+    private val order =
+        compareBy<OnHost>({ it.job.spec.priority }, { it.job.spec.saveEveryS <= 0.0 }, { -it.job.submittedMs })
 
     override fun compare(a: OnHost, b: OnHost): Int = order.compare(a, b)
 }
--- a/src/main/kotlin/flaxfield/arrays/Placement.kt
+++ b/src/main/kotlin/flaxfield/arrays/Placement.kt
@@ -67,12 +67,19 @@
             for (f in machineTypes) if (Validation.allowed(j.spec, f)) untilMs[f.label] = nowMs + keepMs
         }
         untilMs.values.removeIf { it < nowMs }
-        for (j in jobs) if (j.isGang && (gangs[j.spec.owner]?.submittedMs ?: 0L) < j.submittedMs) gangs[j.spec.owner] = j
+        for (j in jobs) {
+            if (j.isGang &&
+                (gangs[j.spec.owner]?.submittedMs ?: 0L) < j.submittedMs
+            ) {
+                gangs[j.spec.owner] = j
+            }
+        }
         gangs.values.removeIf { it.submittedMs < nowMs - keepMs }
         val parked = jobs.filter { it.isGang && !it.cancelled && it.placedCount == 0 && !it.suspect }
         waiting = parked.groupBy { it.spec.owner }
         tasksWaiting = machineTypes.associate { f ->
-            f.label to parked.filter { !it.spec.preemptible && Validation.allowed(it.spec, f) }.sumOf { it.spec.taskCount }
+            f.label to
+                parked.filter { !it.spec.preemptible && Validation.allowed(it.spec, f) }.sumOf { it.spec.taskCount }
         }
     }
 
@@ -84,13 +91,20 @@
      * Arrays that filled them as they came up were told to make way moments later: a thousand tasks in 20 s were
      * placed, stopped and placed again, and each gang began as much later.
      */
-    fun spokenFor(machineType: String, open: Int): Boolean = (tasksWaiting[machineType] ?: 0).let { it > 0 && it >= open }
+    fun spokenFor(machineType: String, open: Int): Boolean =
+        (tasksWaiting[machineType] ?: 0).let { it > 0 && it >= open }
 
     /**
      * The part of a team's limit that its arrays leave free: what its waiting gangs need, or its latest
      * one's need for the next. Arrays that filled the limit made the team's gangs wait for minutes.
      */
-    fun ofLimit(team: String): Room = if (team in waiting) ofWaiting(team, Long.MAX_VALUE) else gangs[team]?.let { need(it) } ?: Room.NONE
+    fun ofLimit(team: String): Room = if (team in
+        waiting
+    ) {
+        ofWaiting(team, Long.MAX_VALUE)
+    } else {
+        gangs[team]?.let { need(it) } ?: Room.NONE
+    }
 
     /** The part that its waiting gangs submitted before [beforeMs] need. */
     fun ofWaiting(team: String, beforeMs: Long): Room =
@@ -141,8 +155,8 @@
 }
 
 /**
- * Machines kept from much smaller tasks while a job that goes before them waits for room: each place that came free was too
- * small for it and was filled again at once, and jobs within their guarantee waited behind a guest's swarm.
+ * Machines kept from much smaller tasks while a job that goes before them waits for room: each place that came free was
+ * too small for it and was filled again at once, and jobs within their guarantee waited behind a guest's swarm.
  */
 class HeldSeats(private val whole: (Seat) -> Room) {
     private val holders = HashMap<String, JobSpec>()
@@ -182,7 +196,14 @@
      * Places pending tasks of [job], starting with task [from], within [limits] and in the chunks that are [open], and
      * shrinks the seats' room. Returns task numbers with their seats.
      */
-    fun place(job: Job, seats: List<Seat>, rule: ZoneRule, from: Int, limits: Limits, open: (Int) -> Boolean = { true }): Map<Int, Seat> {
+    fun place(
+        job: Job,
+        seats: List<Seat>,
+        rule: ZoneRule,
+        from: Int,
+        limits: Limits,
+        open: (Int) -> Boolean = { true },
+    ): Map<Int, Seat> {
         if (limits.tasks <= 0) return emptyMap()
         val spec = job.spec
         val fit = seats.filter {
@@ -195,7 +216,11 @@
         val chunks = HashSet<Int>()
         val tasks = job.pending(from) { n -> open(n) && (chunks.size < limits.chunks || n in chunks) }.iterator()
         for (seat in fit) {
-            while (result.size < limits.tasks && seat.places > 0 && seat.free.holds(spec.need) && rule.allows(seat.machine.zone)) {
+            while (result.size < limits.tasks &&
+                seat.places > 0 &&
+                seat.free.holds(spec.need) &&
+                rule.allows(seat.machine.zone)
+            ) {
                 if (!tasks.hasNext()) return result
                 val task = tasks.next()
                 chunks += task / job.chunkTasks
--- a/src/main/kotlin/flaxfield/arrays/RoomSummary.kt
+++ b/src/main/kotlin/flaxfield/arrays/RoomSummary.kt
@@ -88,7 +88,11 @@
     fun encode(s: RoomSummary): Map<String, Any?> = mapOf(
         "term" to s.term,
         "hosts" to s.hosts.map { (name, h) -> listOf(name, h.state.ordinal, h.session, h.address, h.images) },
-    ) + (s.hearings?.let { mapOf("zones" to it.map { (zone, h) -> listOf(zone, h.expected, h.hearing.ordinal) }) } ?: emptyMap())
+    ) +
+        (
+            s.hearings?.let { mapOf("zones" to it.map { (zone, h) -> listOf(zone, h.expected, h.hearing.ordinal) }) }
+                ?: emptyMap()
+            )
 
     fun decode(o: Obj): RoomSummary = RoomSummary(
         o.needCount("term"),
--- a/src/main/kotlin/flaxfield/arrays/RoomSummaryPublisher.kt
+++ b/src/main/kotlin/flaxfield/arrays/RoomSummaryPublisher.kt
@@ -32,7 +32,10 @@
         for (m in mine) dealt[RoomPages.page(m.name, pages)][m.name] = hosts.book(m.name).room(hosts.state(m.name))
         // A machine that came up or fell silent is news at once; which images it holds may wait a little.
         val withImages = context.nowNs >= nextImagesNs
-        if (withImages) nextImagesNs = context.nowNs + (context.settings.workers.reportS * IMAGES_REPORTS * NANOS_PER_SECOND).toLong()
+        if (withImages) {
+            nextImagesNs =
+                context.nowNs + (context.settings.workers.reportS * IMAGES_REPORTS * NANOS_PER_SECOND).toLong()
+        }
         // The last page first: when pages split, rows appear in their new page before they leave the old one.
         for (page in dealt.indices.reversed()) {
             val before = sent[page]
@@ -42,15 +45,22 @@
         }
     }
 
-    /** What is heard of the zones, counts only as they were [before] where they matter no more: each would be a write. */
+    /**
+     * What is heard of the zones, counts only as they were [before] where they matter no more: each would be a write.
+     */
     private fun hearings(before: RoomSummary?): Map<String, ZoneHearing>? {
         if (context.zones == null) return null
-        return hosts.hearings().mapValues { (zone, now) -> before?.hearings?.get(zone)?.takeIf { it.isLike(now) } ?: now }
+        return hosts.hearings().mapValues { (zone, now) ->
+            before?.hearings?.get(zone)?.takeIf { it.isLike(now) } ?: now
+        }
     }
 
     private fun sameStates(a: RoomSummary, b: RoomSummary): Boolean = a.hearings == b.hearings &&
         a.hosts.size == b.hosts.size &&
-        b.hosts.all { (name, room) -> a.hosts[name]?.let { it.state == room.state && it.session == room.session } ?: false }
+        b.hosts.all { (name, room) ->
+            a.hosts[name]?.let { it.state == room.state && it.session == room.session }
+                ?: false
+        }
 
     private fun write(page: Int, now: RoomSummary, pressing: Boolean) {
         val key = StoreKeys.room(context.me.name, page)
--- a/src/main/kotlin/flaxfield/cli/Main.kt
+++ b/src/main/kotlin/flaxfield/cli/Main.kt
@@ -47,8 +47,15 @@
 
 /** picocli's own mixin for these is read from annotations, which took a quarter of a start's processor time. */
 private fun CommandSpec.addHelp() {
-    addOption(OptionSpec.builder("-h", "--help").usageHelp(true).description("Show this help message and exit.").build())
-    addOption(OptionSpec.builder("-V", "--version").versionHelp(true).description("Print version information and exit.").build())
+    addOption(
+        OptionSpec.builder("-h", "--help").usageHelp(true).description("Show this help message and exit.").build(),
+    )
+    addOption(
+        OptionSpec.builder(
+            "-V",
+            "--version",
+        ).versionHelp(true).description("Print version information and exit.").build(),
+    )
 }
 
 fun main(args: Array<String>) {
@@ -67,7 +74,9 @@
         val settings = Settings.load(serve.matchedOptionValue("--config", ""))
         val properties: String? = serve.matchedOptionValue("--properties", null)
         val operator = if (properties == null) OperatorSettings() else OperatorSettings.load(properties)
-        ClassDataArchive.warning(System.getProperty("java.vm.info"))?.let { LoggerFactory.getLogger("flaxfield.cli").warn(it) }
+        ClassDataArchive.warning(System.getProperty("java.vm.info"))?.let {
+            LoggerFactory.getLogger("flaxfield.cli").warn(it)
+        }
         val fleet: String? = serve.matchedOptionValue("--fleet", null)
         if (fleet != null) OperatorJar.entry().serve(settings, operator, incarnation(), fleet)
         Node(settings, operator, incarnation()).serve()
@@ -81,8 +90,8 @@
 }
 
 /**
- * A text no other run of this node has: when it started, and a random number. Membership compares it within one node's name.
- * Not a secret, so not a secure generator: loading one took a start 15 ms of a core.
+ * A text no other run of this node has: when it started, and a random number. Membership compares it within one node's
+ * name. Not a secret, so not a secure generator: loading one took a start 15 ms of a core.
  */
 private fun incarnation(): String = System.currentTimeMillis().toString(Character.MAX_RADIX) +
     ThreadLocalRandom.current().nextInt(Int.MAX_VALUE).toString(Character.MAX_RADIX)
--- a/src/main/kotlin/flaxfield/cli/OperatorJar.kt
+++ b/src/main/kotlin/flaxfield/cli/OperatorJar.kt
@@ -15,8 +15,8 @@
 }
 
 /**
- * The jar beside this program's own that holds the operators' parts and their libraries. It is not on the class path: a start
- * without a fleet file reads the directory of every jar there, and this one's is twice as long as its own.
+ * The jar beside this program's own that holds the operators' parts and their libraries. It is not on the class path: a
+ * start without a fleet file reads the directory of every jar there, and this one's is twice as long as its own.
  */
 object OperatorJar {
     private const val FILE = "flaxfield-operator.jar"
--- a/src/main/kotlin/flaxfield/client/OperatorClient.kt
+++ b/src/main/kotlin/flaxfield/client/OperatorClient.kt
@@ -43,8 +43,8 @@
 class ClientFault(val code: ExitCode, message: String) : Exception(message)
 
 /**
- * Asks the nodes at [endpoints] one after another until one answers. Orders carry an id and may be repeated, so that the
- * next node may be asked whatever became of the last one's answer.
+ * Asks the nodes at [endpoints] one after another until one answers. Orders carry an id and may be repeated, so that
+ * the next node may be asked whatever became of the last one's answer.
  */
 class OperatorClient(endpoints: List<String>, timeoutS: Double) : AutoCloseable {
     private class Node(val name: String, val channel: ManagedChannel)
@@ -58,7 +58,10 @@
         } catch (e: MalformedException) {
             throw ClientFault(ExitCode.USAGE, "--endpoint: ${e.message}")
         }
-        return NettyChannelBuilder.forAddress(address.host, address.port).usePlaintext().maxInboundMessageSize(MOST_BYTES).build()
+        return NettyChannelBuilder.forAddress(
+            address.host,
+            address.port,
+        ).usePlaintext().maxInboundMessageSize(MOST_BYTES).build()
     }
 
     /** The answer of the first node that gives one. */
@@ -70,7 +73,9 @@
             // A node that hangs must leave time for those after it.
             val shareNs = leftNs / (nodes.size - position)
             try {
-                return request(OperatorGrpc.newBlockingStub(node.channel).withDeadlineAfter(shareNs, TimeUnit.NANOSECONDS))
+                return request(
+                    OperatorGrpc.newBlockingStub(node.channel).withDeadlineAfter(shareNs, TimeUnit.NANOSECONDS),
+                )
             } catch (e: StatusRuntimeException) {
                 val fault = fault(node.name, e.status)
                 if (fault.code !in ASK_ELSEWHERE) throw fault
--- a/src/main/kotlin/flaxfield/client/OperatorCommands.kt
+++ b/src/main/kotlin/flaxfield/client/OperatorCommands.kt
@@ -16,7 +16,10 @@
 import java.util.UUID
 import java.util.concurrent.Callable
 
-/** The operators' commands. Each asks a controller and prints its answer; what a script may rely on is in docs/operating-drains.md. */
+/**
+ * The operators' commands. Each asks a controller and prints its answer; what a script may rely on is in
+ * docs/operating-drains.md.
+ */
 object OperatorCommands {
     /** Runs the command in [args]; the process's exit code. */
     fun run(args: Array<String>): Int {
--- a/src/main/kotlin/flaxfield/client/Output.kt
+++ b/src/main/kotlin/flaxfield/client/Output.kt
@@ -22,7 +22,10 @@
 /** How answers are printed. */
 enum class OutputForm { TABLE, JSON }
 
-/** Prints answers: as tables for people, or as the contract's JSON form, whose field names are those of `operator.proto`. */
+/**
+ * Prints answers: as tables for people, or as the contract's JSON form, whose field names are those of
+ * `operator.proto`.
+ */
 object Output {
     private val json = JsonFormat.printer().preservingProtoFieldNames().includingDefaultValueFields()
 
@@ -34,10 +37,14 @@
     }
 
     fun drain(reply: DrainReply, form: OutputForm) = print(reply, form) {
-        table(listOf("ID", "STATE", "TARGET", "CORDONED", "REMAINING", "DISRUPTED", "ORDERED")) { row(*cells(reply.drain)) }
+        table(listOf("ID", "STATE", "TARGET", "CORDONED", "REMAINING", "DISRUPTED", "ORDERED")) {
+            row(*cells(reply.drain))
+        }
         if (reply.drain.note.isNotEmpty()) println(reply.drain.note)
         if (reply.drain.waitsCount > 0) {
-            table(listOf("MACHINE", "WAITS FOR", "DETAIL")) { for (w in reply.drain.waitsList) row(w.machine, w.reason, w.detail) }
+            table(listOf("MACHINE", "WAITS FOR", "DETAIL")) {
+                for (w in reply.drain.waitsList) row(w.machine, w.reason, w.detail)
+            }
         }
         revision(reply.revision)
     }
@@ -56,7 +63,12 @@
         table(listOf("MACHINE", "TYPE", "ZONE", "KIND", "PHASE", "HEALTH", "DRAIN", "TASKS", "TEAMS")) {
             for (m in reply.machinesList) {
                 val kind = if (m.preemptible) "preemptible" else "on-demand"
-                row(m.name, m.machineType, m.zone, kind, m.phase, m.health, m.drain, m.tasks, m.teamsList.joinToString(" "))
+                row(
+                    m.name, m.machineType, m.zone, kind, m.phase, m.health, m.drain, m.tasks,
+                    m.teamsList.joinToString(
+                        " ",
+                    ),
+                )
             }
         }
         revision(reply.revision)
@@ -81,13 +93,23 @@
         revision(reply.revision)
     }
 
-    private fun zones(all: List<Zone>) = table(listOf("ZONE", "STATE", "LOSSES", "MACHINES", "OPEN", "HELD", "ABANDONED", "SINCE")) {
-        for (z in all) {
-            val held = z.heldList.joinToString(" ") { "${it.jobClass}:${it.tasks}" }
-            val since = if (z.sinceMs == 0L) "" else Instant.ofEpochMilli(z.sinceMs).toString()
-            row(z.name, z.state, z.incarnation, z.machines, z.openMachines, held, z.abandonedList.joinToString(" "), since)
+    private fun zones(all: List<Zone>) =
+        table(listOf("ZONE", "STATE", "LOSSES", "MACHINES", "OPEN", "HELD", "ABANDONED", "SINCE")) {
+            for (z in all) {
+                val held = z.heldList.joinToString(" ") { "${it.jobClass}:${it.tasks}" }
+                val since = if (z.sinceMs == 0L) "" else Instant.ofEpochMilli(z.sinceMs).toString()
+                row(
+                    z.name,
+                    z.state,
+                    z.incarnation,
+                    z.machines,
+                    z.openMachines,
+                    held,
+                    z.abandonedList.joinToString(" "),
+                    since,
+                )
+            }
         }
-    }
 
     private fun shares(all: List<FairShare>) = table(listOf("TEAM", "FAIR", "HAS", "SHORT")) {
         for (s in all) row(s.team, amount(s.target), amount(s.held), "%.0f %%".format(s.shortfall * PERCENT))
@@ -102,8 +124,15 @@
         }
     }
 
-    private fun cells(d: Drain): Array<Any> =
-        arrayOf(d.id, d.state, d.target, d.cordoned, d.remaining, d.disrupted, Instant.ofEpochMilli(d.orderedMs).toString())
+    private fun cells(d: Drain): Array<Any> = arrayOf(
+        d.id,
+        d.state,
+        d.target,
+        d.cordoned,
+        d.remaining,
+        d.disrupted,
+        Instant.ofEpochMilli(d.orderedMs).toString(),
+    )
 
     private fun amount(c: Capacity) = "%.1f CPU %.1f acc".format(c.cpus, c.accelerators)
 
--- a/src/main/kotlin/flaxfield/drain/Budgets.kt
+++ b/src/main/kotlin/flaxfield/drain/Budgets.kt
@@ -84,7 +84,10 @@
     val surgeMachines: Int,
     /** Machines that drains may keep new work off at once. */
     val maxCordoned: Int,
-    /** How urgent classes are when a zone is lost, 0 first; classes that are not named are as urgent as their jobs' priority. */
+    /**
+     * How urgent classes are when a zone is lost, 0 first; classes that are not named are as urgent as their jobs'
+     * priority.
+     */
     val recoveryTiers: Map<String, Int> = emptyMap(),
 )
 
--- a/src/main/kotlin/flaxfield/drain/DrainCodec.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainCodec.kt
@@ -49,7 +49,8 @@
         team,
         o.list("entries").orEmpty().associate { row ->
             row as List<*>
-            TaskId(row[0] as String, (row[1] as Number).toInt()) to Disruption((row[2] as Number).toLong(), row[3] as String)
+            TaskId(row[0] as String, (row[1] as Number).toInt()) to
+                Disruption((row[2] as Number).toLong(), row[3] as String)
         },
         version,
     )
@@ -87,6 +88,6 @@
         return BudgetLimit.Absolute(Capacity(o.needNumber("cpus"), o.needNumber("accelerators")))
     }
 
-    private fun repeat(text: String): RepeatPolicy =
-        RepeatPolicy.entries.firstOrNull { it.name.lowercase() == text } ?: throw MalformedException("repeat policy $text")
+    private fun repeat(text: String): RepeatPolicy = RepeatPolicy.entries.firstOrNull { it.name.lowercase() == text }
+        ?: throw MalformedException("repeat policy $text")
 }
--- a/src/main/kotlin/flaxfield/drain/DrainOrders.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrders.kt
@@ -54,8 +54,8 @@
 }
 
 /**
- * Writes operators' orders as records, on whichever node they reach. The leader carries them out. A repeat of an order under
- * the same id is answered as the first one was.
+ * Writes operators' orders as records, on whichever node they reach. The leader carries them out. A repeat of an order
+ * under the same id is answered as the first one was.
  */
 class DrainOrders(private val context: NodeContext) {
     private val writer = OrderWriter(context)
@@ -76,7 +76,14 @@
             return done(OrderResult.Refused(OrderFault.INVALID, "the selector names too many machines"))
         }
         writer.write("drain ${drain.id}", FleetKeys.DRAIN + drain.id, drain.version, value) { result ->
-            if (result is OrderResult.Recorded) log.info("drain={} phase={} ordered: {}", drain.id, drain.phase, drain.selector)
+            if (result is OrderResult.Recorded) {
+                log.info(
+                    "drain={} phase={} ordered: {}",
+                    drain.id,
+                    drain.phase,
+                    drain.selector,
+                )
+            }
             done(result.recordedAs { drain.copy(version = it) })
         }
     }
@@ -129,7 +136,9 @@
             s.machineType != null && s.machineType !in snapshot.machineTypes ->
                 NextRecord.Refuse(OrderFault.NOT_FOUND, "no machine type ${s.machineType}")
             s.zone != null && s.zone !in zones -> NextRecord.Refuse(OrderFault.NOT_FOUND, "no zone ${s.zone}")
-            s.percent != null && !(s.percent > 0.0 && s.percent <= WHOLE) -> invalid("percent is not above 0 and at most 100")
+            s.percent != null && !(s.percent > 0.0 && s.percent <= WHOLE) -> invalid(
+                "percent is not above 0 and at most 100",
+            )
             s.olderThanS != null && !(s.olderThanS >= 0.0) -> invalid("the age is negative")
             else -> null
         }
--- a/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
@@ -19,10 +19,12 @@
     data class NoRepeat(val job: String, val jobClass: String, val policy: RepeatPolicy) : WaitReason
 
     /** The gang, or the single task, is larger than its team's whole budget. */
-    data class LargerThanBudget(val job: String, val team: String, val cost: Capacity, val allowed: Capacity) : WaitReason
+    data class LargerThanBudget(val job: String, val team: String, val cost: Capacity, val allowed: Capacity) :
+        WaitReason
 
     /** The team lacks too much already. */
-    data class BudgetSpent(val team: String, val cost: Capacity, val unavailable: Capacity, val allowed: Capacity) : WaitReason
+    data class BudgetSpent(val team: String, val cost: Capacity, val unavailable: Capacity, val allowed: Capacity) :
+        WaitReason
 
     /** An older drain waits for this team's budget. */
     data class OlderDrainFirst(val drain: String, val team: String) : WaitReason
@@ -54,7 +56,8 @@
     data class Cordon(override val drain: DrainRecord, val machines: List<Machine>) : DrainAction
 
     /** Stops [units] on [machines], as many of them as one transaction holds; each is charged to its team. */
-    data class Step(override val drain: DrainRecord, val machines: List<Machine>, val units: List<DisruptionUnit>) : DrainAction
+    data class Step(override val drain: DrainRecord, val machines: List<Machine>, val units: List<DisruptionUnit>) :
+        DrainAction
 
     /** Hands empty [machines] to the fleet's ordinary return. */
     data class Retire(override val drain: DrainRecord, val machines: List<Machine>) : DrainAction
@@ -96,8 +99,11 @@
                 else -> Unit
             }
         }
-        // Stopped before all machines of its drain are cordoned, a task may go to one that is taken next, to be stopped again.
-        val unsettled = actions.filter { it is DrainAction.Cordon || it is DrainAction.Count }.mapTo(HashSet()) { it.drain.id }
+        // Stopped before all machines of its drain are cordoned, a task may go to one that is taken next, to be stopped
+        // again.
+        val unsettled = actions.filter {
+            it is DrainAction.Cordon || it is DrainAction.Count
+        }.mapTo(HashSet()) { it.drain.id }
         step(open.filter { it.phase == DrainPhase.ACTIVE && it.id !in unsettled })
         return DrainPlan(actions, waits)
     }
@@ -121,7 +127,8 @@
     }
 
     private fun cordon(drain: DrainRecord, machines: List<Machine>) {
-        val policy = policy ?: return wait(drain, ALL_MACHINES, WaitReason.WithoutConfig(snapshot.membersWithoutConfig()))
+        val policy =
+            policy ?: return wait(drain, ALL_MACHINES, WaitReason.WithoutConfig(snapshot.membersWithoutConfig()))
         val room = policy.maxCordoned - byDrain.values.sumOf { it.size }
         if (room > 0) {
             actions += DrainAction.Cordon(drain, machines.take(room))
@@ -133,7 +140,8 @@
     private fun cancelling(drain: DrainRecord) {
         // A machine that is empty and on its way back to the cloud goes on.
         val held = byDrain[drain.id].orEmpty().filter { it.phase == MachinePhase.UP }
-        actions += if (held.isEmpty()) DrainAction.Finish(drain, DrainPhase.CANCELLED) else DrainAction.Uncordon(drain, held)
+        actions +=
+            if (held.isEmpty()) DrainAction.Finish(drain, DrainPhase.CANCELLED) else DrainAction.Uncordon(drain, held)
     }
 
     /** Machines that the drain is for and that no drain has taken yet, the oldest first. */
@@ -227,7 +235,14 @@
         val spent = costs.maxOf { (team, cost) ->
             availability.of(team).let { (it.unavailable + taken.cost(team) + cost).partOf(it.allowed) }
         }
-        return Offer(machine, some, costs, some.size == open.size, spent, open.sumOf { it.tasks.size } - some.sumOf { it.tasks.size })
+        return Offer(
+            machine,
+            some,
+            costs,
+            some.size == open.size,
+            spent,
+            open.sumOf { it.tasks.size } - some.sumOf { it.tasks.size },
+        )
     }
 
     /** Why nothing on [machine] may be stopped now, whatever the budgets hold. */
@@ -246,19 +261,32 @@
         val unsettled = live.firstOrNull { it.job.isGang && disrupted(it) }
         if (unsettled != null) return WaitReason.GangUnsettled(unsettled.job.id)
         val large = live.firstOrNull { stoppable(it) && !budgetOf(it).everPermits(whole(it)) }
-        if (large != null) return WaitReason.LargerThanBudget(large.job.id, large.team, whole(large), budgetOf(large).allowed)
-        return if (units.isNotEmpty() && units.none(::stoppable)) WaitReason.Stopping(units.sumOf { it.tasks.size }) else null
+        if (large !=
+            null
+        ) {
+            return WaitReason.LargerThanBudget(large.job.id, large.team, whole(large), budgetOf(large).allowed)
+        }
+        return if (units.isNotEmpty() &&
+            units.none(::stoppable)
+        ) {
+            WaitReason.Stopping(units.sumOf { it.tasks.size })
+        } else {
+            null
+        }
     }
 
     private fun budgetOf(unit: DisruptionUnit): TeamAvailability = checkNotNull(availability).of(unit.team)
 
     private fun whole(unit: DisruptionUnit): Capacity = Capacity.of(unit.job.spec) * unit.tasks.size
 
-    /** Whether a gang is on its way out already: a task of it is stopping, or none of it is complete on its machines. */
+    /**
+     * Whether a gang is on its way out already: a task of it is stopping, or none of it is complete on its machines.
+     */
     private fun disrupted(unit: DisruptionUnit): Boolean =
         unit.tasks.any { unit.job.placed(it)?.stopping ?: false } || unit.job.placedCount < unit.job.spec.taskCount
 
-    private fun stoppable(unit: DisruptionUnit): Boolean = !unit.job.cancelled && unit.tasks.any { unit.job.placed(it)?.stopping == false }
+    private fun stoppable(unit: DisruptionUnit): Boolean =
+        !unit.job.cancelled && unit.tasks.any { unit.job.placed(it)?.stopping == false }
 
     /** Adds a unit's cost to [costs] if its team can bear it. */
     private fun affordable(
@@ -283,7 +311,11 @@
             return false
         }
         if (!budget.permits(before + cost)) {
-            wait(drain, machine.name, WaitReason.BudgetSpent(unit.team, cost, budget.unavailable + before, budget.allowed))
+            wait(
+                drain,
+                machine.name,
+                WaitReason.BudgetSpent(unit.team, cost, budget.unavailable + before, budget.allowed),
+            )
             claimed.putIfAbsent(unit.team, drain.id)
             return false
         }
@@ -307,8 +339,8 @@
         private const val PERCENT = 100.0
 
         /**
-         * Machines in one step. One machine a step took three times as long as the budgets allow at 500 machines; what a
-         * transaction holds of them is the reconciler's to see to.
+         * Machines in one step. One machine a step took three times as long as the budgets allow at 500 machines; what
+         * a transaction holds of them is the reconciler's to see to.
          */
         private const val MOST_MACHINES = 8
 
@@ -322,11 +354,13 @@
         private val AGE = compareBy<DrainRecord>({ it.orderedMs }, { it.id })
 
         /**
-         * Machines that the step empties come first, then the step that leaves its teams the largest part of their budgets:
-         * so the cheapest machines go first, and teams that lack the least take their turn. Of machines that no step
-         * empties, the one that is nearest to it.
+         * Machines that the step empties come first, then the step that leaves its teams the largest part of their
+         * budgets: so the cheapest machines go first, and teams that lack the least take their turn. Of machines that
+         * no step empties, the one that is nearest to it.
          */
         private val OFFERS =
-            compareBy<Offer>({ !it.empties }, { if (it.empties) it.spent else it.left.toDouble() }, { it.spent }, { it.machine.name })
+            compareBy<Offer>({
+                !it.empties
+            }, { if (it.empties) it.spent else it.left.toDouble() }, { it.spent }, { it.machine.name })
     }
 }
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's part of all drains: commits what [DrainPlanner] plans. Each action is one transaction that holds only under
- * this term and the versions that the plan was made on, so that neither an earlier leader nor a late copy of a transaction
- * can add to it. Halts follow from the records, after the commit.
+ * The leader's part of all drains: commits what [DrainPlanner] plans. Each action is one transaction that holds only
+ * under this term and the versions that the plan was made on, so that neither an earlier leader nor a late copy of a
+ * transaction can add to it. Halts follow from the records, after the commit.
  */
 class DrainReconciler(private val context: NodeContext) {
     private val limits = context.settings.stateLimits
@@ -53,9 +53,21 @@
     private fun write(drain: DrainRecord) {
         val key = FleetKeys.DRAIN + drain.id
         if (context.isBusy(key)) return
-        val txn = Txn(TaskCompletion.fence(context) + (key to drain.version), listOf(Change.Put(key, DrainCodec.encode(drain))))
+        val txn =
+            Txn(
+                TaskCompletion.fence(context) + (key to drain.version),
+                listOf(Change.Put(key, DrainCodec.encode(drain))),
+            )
         context.commit(Cause.FLEET, txn) { outcome ->
-            if (outcome is Outcome.Committed) log.info("drain={} phase={} target={} {}", drain.id, drain.phase, drain.target, drain.note)
+            if (outcome is Outcome.Committed) {
+                log.info(
+                    "drain={} phase={} target={} {}",
+                    drain.id,
+                    drain.phase,
+                    drain.target,
+                    drain.note,
+                )
+            }
         }
     }
 
@@ -66,7 +78,9 @@
         val some = idle(action.machines).take(context.budget.bulk(limits.txnOps - 1))
         if (some.isEmpty()) return
         val drain = action.drain.copy(cordoned = action.drain.cordoned + some.size)
-        val changes = listOf(Change.Put(key, DrainCodec.encode(drain))) + some.map { put(it.copy(cordon = drain.id, claim = null)) }
+        val changes =
+            listOf(Change.Put(key, DrainCodec.encode(drain))) +
+                some.map { put(it.copy(cordon = drain.id, claim = null)) }
         commit(action.drain, some, changes) {
             for (m in some) log.info("drain={} host={} term={} takes no new work", drain.id, m.name, term)
         }
@@ -162,16 +176,17 @@
         private const val FILL = 0.75
 
         /** How many disrupted tasks of one team fit one value. */
-        fun mostEntries(limits: StateLimits): Int = (limits.valueKb * BYTES_PER_KIB * FILL / ENTRY_BYTES).toInt().coerceAtLeast(1)
+        fun mostEntries(limits: StateLimits): Int =
+            (limits.valueKb * BYTES_PER_KIB * FILL / ENTRY_BYTES).toInt().coerceAtLeast(1)
     }
 }
 
 /** Builds the transaction of one step. Pure: the same snapshot gives the same transaction. */
 class DrainSteps(private val snapshot: FleetSnapshot, private val term: ULong) {
     /**
-     * Stops [units] and charges them. Its conditions are the term, the drain's record, the ledgers of the teams, the loss
-     * mark of each member, the job records and the machines: a charge of another drain, a loss, or an operator's pause
-     * committed in between makes all of it fail.
+     * Stops [units] and charges them. Its conditions are the term, the drain's record, the ledgers of the teams, the
+     * loss mark of each member, the job records and the machines: a charge of another drain, a loss, or an operator's
+     * pause committed in between makes all of it fail.
      */
     fun transaction(drain: DrainRecord, machines: List<Machine>, units: List<DisruptionUnit>): Txn {
         val conditions = HashMap<String, ULong>()
@@ -198,7 +213,10 @@
         return Txn(conditions, changes)
     }
 
-    private fun running(job: Job, units: List<DisruptionUnit>) = units.flatMap { it.tasks }.filter { job.placed(it)?.stopping == false }
+    private fun running(job: Job, units: List<DisruptionUnit>) = units.flatMap { it.tasks }.filter {
+        job.placed(it)?.stopping ==
+            false
+    }
 
     private fun entry(drain: DrainRecord, job: Job, index: Int) =
         TaskId(job.id, index) to Disruption(job.placed(index)?.attempt ?: 0L, drain.id)
--- a/src/main/kotlin/flaxfield/drain/FleetControl.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetControl.kt
@@ -33,17 +33,25 @@
     }
 
     /**
-     * Takes an operator's order; [done] is called on the owner thread. Not before the view is complete: on the empty one of a
-     * process that has just started, every machine, zone and drain was called unknown.
+     * Takes an operator's order; [done] is called on the owner thread. Not before the view is complete: on the empty
+     * one of a process that has just started, every machine, zone and drain was called unknown.
      */
     fun order(order: DrainOrder, done: (OrderResult<DrainRecord>) -> Unit) {
-        if (!publisher.complete) return done(OrderResult.Refused(OrderFault.UNAVAILABLE, "this node is reading its view"))
+        if (!publisher.complete) {
+            return done(
+                OrderResult.Refused(OrderFault.UNAVAILABLE, "this node is reading its view"),
+            )
+        }
         orders.take(order, publisher.current, done)
     }
 
     /** Takes an operator's order to give up on what [jobClass] had in the lost [zone], like [order]. */
     fun abandon(zone: String, jobClass: String, done: (OrderResult<AbandonOrder>) -> Unit) {
-        if (!publisher.complete) return done(OrderResult.Refused(OrderFault.UNAVAILABLE, "this node is reading its view"))
+        if (!publisher.complete) {
+            return done(
+                OrderResult.Refused(OrderFault.UNAVAILABLE, "this node is reading its view"),
+            )
+        }
         abandons.take(zone, jobClass, publisher.current, done)
     }
 
@@ -60,7 +68,10 @@
         val snapshot = publisher.current
         if (!context.mayDecide()) return
         publishConfig(snapshot)
-        restores.run(snapshot, publisher.jobsWithLosses + snapshot.ledgers.values.flatMap { l -> l.entries.keys.map { it.job } })
+        restores.run(
+            snapshot,
+            publisher.jobsWithLosses + snapshot.ledgers.values.flatMap { l -> l.entries.keys.map { it.job } },
+        )
         if (context.leads()) drains.run(snapshot)
     }
 
@@ -77,8 +88,8 @@
         Change.Put(FleetKeys.LOSS + context.me.name, mapOf("run" to context.me.incarnation, "mark" to ++marks))
 
     /**
-     * The tasks on the next machines to be emptied, as demands for room elsewhere: a stopped task that had to wait for a boot
-     * would keep its team's budget spent for as long.
+     * The tasks on the next machines to be emptied, as demands for room elsewhere: a stopped task that had to wait for
+     * a boot would keep its team's budget spent for as long.
      */
     override fun demands(): List<Demand> = if (publisher.complete) SurgeDemand.of(publisher.current) else emptyList()
 
@@ -95,14 +106,18 @@
         val policy = snapshot.policy() ?: return emptyList()
         val active = snapshot.drains.values.filter { it.phase == DrainPhase.ACTIVE }.mapTo(HashSet()) { it.id }
         if (active.isEmpty()) return emptyList()
-        val next = snapshot.machines.values.filter { it.cordon in active }.sortedBy { it.name }.take(policy.surgeMachines)
+        val next = snapshot.machines.values.filter {
+            it.cordon in active
+        }.sortedBy { it.name }.take(policy.surgeMachines)
             .mapTo(HashSet()) { it.name }
         if (next.isEmpty()) return emptyList()
         val availability = Availability(snapshot, policy)
         val movable = snapshot.jobs.values.filter { job ->
             // What is never stopped needs no room elsewhere.
             val unit = Capacity.of(job.spec) * (if (job.isGang) job.spec.taskCount else 1)
-            !job.cancelled && policy.repeat(job.spec.jobClass).allows(job.spec) && availability.of(job.spec.owner).everPermits(unit)
+            !job.cancelled &&
+                policy.repeat(job.spec.jobClass).allows(job.spec) &&
+                availability.of(job.spec.owner).everPermits(unit)
         }
         return movable.mapNotNull { job ->
             val tasks = job.allPlaced().count { it.host in next && !it.stopping }
--- a/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
@@ -12,8 +12,8 @@
 import kotlinx.collections.immutable.persistentHashMapOf
 
 /**
- * The cluster at one revision of the state service. Immutable: any thread may read it, and whatever is worked out from it
- * alone is the same on each node that has reached [revision].
+ * The cluster at one revision of the state service. Immutable: any thread may read it, and whatever is worked out from
+ * it alone is the same on each node that has reached [revision].
  */
 data class FleetSnapshot(
     val revision: ULong = 0uL,
--- a/src/main/kotlin/flaxfield/drain/LedgerEntries.kt
+++ b/src/main/kotlin/flaxfield/drain/LedgerEntries.kt
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Frees entries of ledgers whose task is done or whose job has ended. That a task runs again is proven by the owner of its
- * machine, see [RestoreReconciler]. No entry is ever freed by time.
+ * Frees entries of ledgers whose task is done or whose job has ended. That a task runs again is proven by the owner of
+ * its machine, see [RestoreReconciler]. No entry is ever freed by time.
  */
 class LedgerEntries(private val context: NodeContext) {
     /** Frees what [snapshot] shows to have ended. */
@@ -35,7 +35,16 @@
             listOf(Change.Put(key, DrainCodec.encode(next))),
         )
         context.commit(Cause.ROOM, txn) { outcome ->
-            if (outcome is Outcome.Committed) for (t in freed) log.info("team={} job={} task={} freed: ended", ledger.team, t.job, t.index)
+            if (outcome is Outcome.Committed) {
+                for (t in freed) {
+                    log.info(
+                        "team={} job={} task={} freed: ended",
+                        ledger.team,
+                        t.job,
+                        t.index,
+                    )
+                }
+            }
         }
     }
 
--- a/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The owning part's proofs that lost or drained tasks run again: a report of one of its machines, under the present term and
- * in the session of the record, that shows the task's newer attempt as running. One transaction takes the task off the job's
- * losses and off its team's ledger.
+ * The owning part's proofs that lost or drained tasks run again: a report of one of its machines, under the present
+ * term and in the session of the record, that shows the task's newer attempt as running. One transaction takes the task
+ * off the job's losses and off its team's ledger.
  */
 class RestoreReconciler(private val context: NodeContext, private val health: WorkerHealth) {
     /** Looks at the jobs in [candidates]. */
@@ -38,7 +38,9 @@
             lacking && !p.stopping && ProofOfRunning.holds(job.id, p, health.known(p.host)?.report, term)
         }.map { it.index }.toList()
         // As many chunks as one transaction holds; the others follow.
-        val chunks = running.map { it / job.chunkTasks }.distinct().take(TaskCompletion.chunksAtOnce(context.settings.stateLimits))
+        val chunks = running.map {
+            it / job.chunkTasks
+        }.distinct().take(TaskCompletion.chunksAtOnce(context.settings.stateLimits))
         val some = running.filter { it / job.chunkTasks in chunks }
         if (some.isEmpty()) return
         val write = TaskCompletion.write(job, job.restore(some), term)
@@ -69,6 +71,9 @@
         report.epoch == term &&
         report.session == placed.session &&
         report.tasks.any {
-            it.job == job && it.index == placed.index && it.attempt == placed.attempt.toULong() && it.state == TaskState.RUNNING
+            it.job == job &&
+                it.index == placed.index &&
+                it.attempt == placed.attempt.toULong() &&
+                it.state == TaskState.RUNNING
         }
 }
--- a/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
+++ b/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Follows the view and publishes a [FleetSnapshot] of each revision that it reaches. Only what has changed is replaced. The
- * owner thread writes; any thread may read [current].
+ * Follows the view and publishes a [FleetSnapshot] of each revision that it reaches. Only what has changed is replaced.
+ * The owner thread writes; any thread may read [current].
  */
 class SnapshotPublisher(private val view: ClusterView) : ViewObserver {
     /** The latest snapshot of a complete view. */
@@ -96,7 +96,14 @@
                 }
                 key.startsWith(FleetKeys.LEDGER) -> {
                     val team = key.removePrefix(FleetKeys.LEDGER)
-                    next.copy(ledgers = next.ledgers.set(team, value?.let { DrainCodec.ledger(team, it, item.version) }))
+                    next.copy(
+                        ledgers = next.ledgers.set(
+                            team,
+                            value?.let {
+                                DrainCodec.ledger(team, it, item.version)
+                            },
+                        ),
+                    )
                 }
                 key.startsWith(FleetKeys.CONFIG) -> {
                     val node = key.removePrefix(FleetKeys.CONFIG)
@@ -104,7 +111,14 @@
                 }
                 key.startsWith(FleetKeys.ABANDON) -> {
                     val name = key.removePrefix(FleetKeys.ABANDON)
-                    next.copy(abandons = next.abandons.set(name, value?.let { AbandonCodec.decode(name, it, item.version) }))
+                    next.copy(
+                        abandons = next.abandons.set(
+                            name,
+                            value?.let {
+                                AbandonCodec.decode(name, it, item.version)
+                            },
+                        ),
+                    )
                 }
                 key.startsWith(FleetKeys.LOSS) ->
                     next.copy(lossMarks = next.lossMarks.set(key.removePrefix(FleetKeys.LOSS), item.version))
--- a/src/main/kotlin/flaxfield/fleet/Boot.kt
+++ b/src/main/kotlin/flaxfield/fleet/Boot.kt
@@ -11,8 +11,9 @@
 
     companion object {
         /**
-         * Pure. A machine that boots slowly while ones rented after it are up is an exception: it is replaced soon, and given
-         * up later. While none is up, all are slow, and those in its place would be as slow: it gets twice the time.
+         * Pure. A machine that boots slowly while ones rented after it are up is an exception: it is replaced soon, and
+         * given up later. While none is up, all are slow, and those in its place would be as slow: it gets twice the
+         * time.
          */
         fun of(ageS: Double, readyS: Double, laterOnesUp: Boolean): Boot {
             val boots = ageS / readyS / (if (laterOnesUp) 1 else PATIENCE)
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -30,7 +30,13 @@
 
     fun rent(h: Rental, done: (Rented) -> Unit) {
         val body = Wire.encode(
-            mapOf("hire" to h.name, "flavor" to h.machineType, "site" to h.zone, "lendable" to h.preemptible, "how_many" to h.count),
+            mapOf(
+                "hire" to h.name,
+                "flavor" to h.machineType,
+                "site" to h.zone,
+                "lendable" to h.preemptible,
+                "how_many" to h.count,
+            ),
         )
         http.send("POST", "/machines", body, timeoutMs) { a ->
             done(
@@ -48,7 +54,9 @@
 
     /** True once the machines and all that was on them are gone. */
     fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) {
-        http.send("POST", "/machines/return", Wire.encode(mapOf("hosts" to hosts)), timeoutMs) { done(it?.status == OK) }
+        http.send("POST", "/machines/return", Wire.encode(mapOf("hosts" to hosts)), timeoutMs) {
+            done(it?.status == OK)
+        }
     }
 
     fun list(from: String?, done: (ListPage?) -> Unit) {
@@ -58,7 +66,10 @@
                 guard(null) {
                     if (a?.status != OK) return@guard null
                     val o = Wire.decode(a.body)
-                    ListPage(o.objs("hosts").map { Listed(it.needText("id"), it.text("phase") == "failed") }, o.flag("more") ?: false)
+                    ListPage(
+                        o.objs("hosts").map { Listed(it.needText("id"), it.text("phase") == "failed") },
+                        o.flag("more") ?: false,
+                    )
                 },
             )
         }
--- a/src/main/kotlin/flaxfield/fleet/FleetDemand.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetDemand.kt
@@ -22,10 +22,18 @@
         val w = context.view
         val use = context.use()
         val claimed = w.machines.values.mapNotNullTo(HashSet()) { m -> w.claimOn(m)?.job }
-        val waiting = w.jobs.values.filter { it.pendingCount > 0 && !it.cancelled && it.id !in claimed && it.retryAtMs <= context.nowMs }
+        val waiting = w.jobs.values.filter {
+            it.pendingCount > 0 &&
+                !it.cancelled &&
+                it.id !in claimed &&
+                it.retryAtMs <= context.nowMs
+        }
         val result = ArrayList<Demand>()
         // How fast tasks that fill cheap machines end: so fast the queue for them moves by itself.
-        val endsPerS = w.jobs.values.filter { !it.isGang && it.spec.preemptible }.sumOf { it.placedCount / maxOf(1.0, it.spec.expectS) }
+        val endsPerS = w.jobs.values.filter { !it.isGang && it.spec.preemptible }.sumOf {
+            it.placedCount /
+                maxOf(1.0, it.spec.expectS)
+        }
         var ahead = 0
         val late = JobOrder.lateMs(context.nowMs)
         val ordered = context.inOrder(waiting, use)
@@ -36,7 +44,22 @@
             if (n <= 0 || j.isGang && n < j.spec.taskCount) continue
             use.add(j.spec.owner, j.spec.need * n)
             if (!j.isGang && j.spec.preemptible) ahead += n
-            result += Demand(j.spec, n, pressing(j, if (endsPerS > 0.0) ahead / endsPerS else Double.MAX_VALUE), context.waitedLong(j))
+            result +=
+                Demand(
+                    j.spec,
+                    n,
+                    pressing(
+                        j,
+                        if (endsPerS >
+                            0.0
+                        ) {
+                            ahead / endsPerS
+                        } else {
+                            Double.MAX_VALUE
+                        },
+                    ),
+                    context.waitedLong(j),
+                )
         }
         return FleetRules.together(result) + context.subsystem?.demands().orEmpty() +
             FleetRules.spares(rates(), ::lead, context.operator.spareFactor, context.operator.arraySpareFactor)
@@ -53,7 +76,8 @@
     /** How many places a job's waiting tasks are worth: fewer than there are tasks, where one serves many in turn. */
     private fun places(j: Job): Int {
         if (j.isGang) return j.pendingCount
-        val readyS = context.view.machineTypes.values.filter { Validation.allowed(j.spec, it) }.minOfOrNull { it.readyS } ?: 0.0
+        val readyS =
+            context.view.machineTypes.values.filter { Validation.allowed(j.spec, it) }.minOfOrNull { it.readyS } ?: 0.0
         return ShortTasks.rented(j.spec, j.pendingCount, j.placedCount, readyS, context.settings.workers.reportS)
     }
 
@@ -65,8 +89,21 @@
         if (context.zones?.keepsToCheap(j) == true) return false
         val ageS = (context.nowMs - j.submittedMs) / MILLIS_PER_SECOND
         val aims = context.settings.objectives.filter { it.jobClass == j.spec.jobClass }
-        if (FleetRules.pressesToStart(ageS, lead(j.spec), queueS, aims.filter { it.kind == "wait" }.map { it.withinS })) return true
-        val cheap = context.view.machines.values.any { it.preemptible && ZoneRule.kindAllowed(j.spec, it.machineType, it.zone, true) }
+        if (FleetRules.pressesToStart(
+                ageS,
+                lead(j.spec),
+                queueS,
+                aims.filter {
+                    it.kind == "wait"
+                }.map { it.withinS },
+            )
+        ) {
+            return true
+        }
+        val cheap = context.view.machines.values.any {
+            it.preemptible &&
+                ZoneRule.kindAllowed(j.spec, it.machineType, it.zone, true)
+        }
         if (aims.isEmpty() && cheap) return FleetRules.pressesWithoutAim(ageS, begun = j.placedCount + j.doneCount > 0)
         val within = aims.maxOfOrNull { it.withinS } ?: context.settings.workers.cancelS
         return ageS > within * (if (cheap) PRESSING_SHARE else PRESSING_SHARE_ALONE)
@@ -74,7 +111,9 @@
 
     /** What a job of this shape waits for on a fresh machine: boot and image. */
     private fun lead(spec: JobSpec): Double {
-        val f = context.view.machineTypes.values.filter { Validation.allowed(spec, it) }.minByOrNull { it.rate } ?: return 0.0
+        val f =
+            context.view.machineTypes.values.filter { Validation.allowed(spec, it) }.minByOrNull { it.rate }
+                ?: return 0.0
         return f.readyS + spec.imageGb / f.fetchGbPerS
     }
 
--- a/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
@@ -42,7 +42,8 @@
             termSeen = context.term()
             termSinceNs = context.nowNs
             if (context.view.machines.isNotEmpty()) {
-                nextPlanNs = context.nowNs + (context.settings.workers.leaseS * FIRST_PLAN_SHARE * NANOS_PER_SECOND).toLong()
+                nextPlanNs =
+                    context.nowNs + (context.settings.workers.leaseS * FIRST_PLAN_SHARE * NANOS_PER_SECOND).toLong()
             }
         }
         askFlavors()
@@ -57,11 +58,14 @@
     }
 
     /**
-     * Whether the view surely shows what this node wrote a moment ago. On a view that stood still for 11 s, since a watch's
-     * answer was lost, a hundred rentals of the same machines were written, and for a minute the cloud was asked for nothing else.
+     * Whether the view surely shows what this node wrote a moment ago. On a view that stood still for 11 s, since a
+     * watch's answer was lost, a hundred rentals of the same machines were written, and for a minute the cloud was
+     * asked for nothing else.
      */
-    private fun viewIsFresh(): Boolean =
-        context.knowledge.within((context.settings.workers.reportS * FRESH_REPORTS * NANOS_PER_SECOND).toLong(), context.nowNs)
+    private fun viewIsFresh(): Boolean = context.knowledge.within(
+        (context.settings.workers.reportS * FRESH_REPORTS * NANOS_PER_SECOND).toLong(),
+        context.nowNs,
+    )
 
     private fun forget() {
         leading = false
@@ -73,7 +77,11 @@
 
     private fun askFlavors() {
         if (flavorsOpen || context.nowNs < nextFlavorsNs || context.isBusy(StoreKeys.TYPES)) return
-        if (context.view.machineTypes.isNotEmpty() && context.nowMs - context.view.flavorsAtMs < FLAVORS_S * MILLIS_PER_SECOND) return
+        if (context.view.machineTypes.isNotEmpty() &&
+            context.nowMs - context.view.flavorsAtMs < FLAVORS_S * MILLIS_PER_SECOND
+        ) {
+            return
+        }
         if (!rate.allows(context.nowNs)) return
         flavorsOpen = true
         cloud.machineTypes { got ->
@@ -83,7 +91,8 @@
                 // types no user is served. What the view has is asked for again only when it is old.
                 nextFlavorsNs = context.nowNs + (context.settings.workers.reportS / 2 * NANOS_PER_SECOND).toLong()
                 if (got != null && context.leads()) {
-                    val conditions = TaskCompletion.fence(context) + (StoreKeys.TYPES to context.view.version(StoreKeys.TYPES))
+                    val conditions =
+                        TaskCompletion.fence(context) + (StoreKeys.TYPES to context.view.version(StoreKeys.TYPES))
                     val put = Change.Put(StoreKeys.TYPES, FleetCodec.encodeFlavors(got.values, context.nowMs))
                     context.commit(Cause.FLEET, Txn(conditions, listOf(put)))
                 }
@@ -100,9 +109,13 @@
         val most = context.budget.bulk(context.settings.stateLimits.txnOps)
         val some = ReturnOrder.sort(context, due.values.map { it.machine }).take(most).mapNotNull { due[it.name] }
         if (some.isEmpty()) return
-        val conditions = TaskCompletion.fence(context) + some.associate { StoreKeys.HOST + it.machine.name to it.machine.version }
+        val conditions =
+            TaskCompletion.fence(context) + some.associate { StoreKeys.HOST + it.machine.name to it.machine.version }
         val changes = some.map { r ->
-            Change.Put(StoreKeys.HOST + r.machine.name, FleetCodec.encode(r.machine.copy(phase = r.phase, claim = null)))
+            Change.Put(
+                StoreKeys.HOST + r.machine.name,
+                FleetCodec.encode(r.machine.copy(phase = r.phase, claim = null)),
+            )
         }
         if (!context.commit(Cause.FLEET, Txn(conditions, changes))) return
         for (r in some) {
@@ -160,7 +173,11 @@
     private fun boot(m: Machine, machineType: MachineType): Boot = if (cameUp(m)) {
         Boot.COMING
     } else {
-        Boot.of((context.nowMs - m.sinceMs) / MILLIS_PER_SECOND, machineType.readyS, (lastUpMs[m.machineType] ?: 0L) >= m.sinceMs)
+        Boot.of(
+            (context.nowMs - m.sinceMs) / MILLIS_PER_SECOND,
+            machineType.readyS,
+            (lastUpMs[m.machineType] ?: 0L) >= m.sinceMs,
+        )
     }
 
     private fun cameUp(m: Machine) = (context.view.lastRoom(m.name)?.session ?: 0uL) > 0uL
@@ -189,7 +206,11 @@
             val state = w.hostRoom(m.name)?.state ?: HostState.UNSEEN
             if (state != HostState.OK && state != HostState.UNSEEN) continue
             // Room that keeps not coming is not waited for: what is needed is rented in its place, once.
-            if (state == HostState.UNSEEN && w.machineTypes[m.machineType]?.let { boot(m, it) != Boot.COMING } ?: false) continue
+            if (state == HostState.UNSEEN &&
+                w.machineTypes[m.machineType]?.let { boot(m, it) != Boot.COMING } ?: false
+            ) {
+                continue
+            }
             bins += Bin(m.name, m.machineType, m.zone, m.preemptible, roomWithoutGuests(m) ?: continue)
         }
         for (h in w.rentals.values) {
@@ -211,7 +232,14 @@
             )
         val mayRent = HashMap<String, Int>()
         val roomIn = { zone: String -> mayRent.getOrPut(zone) { context.zones?.mayRent(zone) ?: Int.MAX_VALUE } }
-        val packing = FleetRules.pack(demand.demands(), bins, w.machineTypes, mostNew, context.reserved::rents, load()) { o ->
+        val packing = FleetRules.pack(
+            demand.demands(),
+            bins,
+            w.machineTypes,
+            mostNew,
+            context.reserved::rents,
+            load(),
+        ) { o ->
             val f = w.machineTypes[o.machineType]
             if (f == null || rentals.isRefused(o) || roomIn(o.zone) <= 0) {
                 null
@@ -222,7 +250,12 @@
             }
         }
         // While arrays wait for room, those that fill a machine nobody else needs are worth its price.
-        val backlog = w.jobs.values.any { !it.isGang && !it.cancelled && it.pendingCount > 0 && it.retryAtMs <= context.nowMs }
+        val backlog = w.jobs.values.any {
+            !it.isGang &&
+                !it.cancelled &&
+                it.pendingCount > 0 &&
+                it.retryAtMs <= context.nowMs
+        }
         for (m in w.machines.values) {
             val idle = m.takesWork &&
                 m.name !in packing.usedHosts &&
@@ -239,7 +272,10 @@
         }
     }
 
-    /** Machines for each controller of a zone: a zone with one of three controllers gets a third of what may be anywhere. */
+    /**
+     * Machines for each controller of a zone: a zone with one of three controllers gets a third of what may be
+     * anywhere.
+     */
     private fun load(): Load {
         val machines = context.view.machines.values.groupingBy { it.zone }.eachCount()
         val nodes = context.view.assignment?.members.orEmpty().groupingBy { it.zone }.eachCount()
--- a/src/main/kotlin/flaxfield/fleet/FleetRules.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetRules.kt
@@ -62,10 +62,27 @@
             var tasks = d.tasks
             var next = 0
             while (tasks > 0) {
-                while (next < open.size && !(open[next].zone == (zone ?: open[next].zone) && takes(open[next], d, rule, suits))) next++
+                while (next < open.size &&
+                    !(open[next].zone == (zone ?: open[next].zone) && takes(open[next], d, rule, suits))
+                ) {
+                    next++
+                }
                 if (next >= open.size) {
                     if (new >= mostNew) break
-                    val loadNow = { zone: String -> load(zone, rent.entries.sumOf { (o, n) -> if (o.zone == zone) n else 0 }) }
+                    val loadNow = { zone: String ->
+                        load(
+                            zone,
+                            rent.entries.sumOf { (o, n) ->
+                                if (o.zone ==
+                                    zone
+                                ) {
+                                    n
+                                } else {
+                                    0
+                                }
+                            },
+                        )
+                    }
                     val offer = best(d, tasks, machineTypes, rule, suits, loadNow, price) ?: break
                     val machineType = machineTypes.getValue(offer.machineType)
                     rent.merge(offer, 1, Int::plus)
@@ -100,10 +117,11 @@
     }
 
     /**
-     * The same for a job of a class without aims: guests' idle work was given dear machines as soon as it had waited for
-     * two cancellations. It gets them if else it would not begin in time, or seems never to be done.
+     * The same for a job of a class without aims: guests' idle work was given dear machines as soon as it had waited
+     * for two cancellations. It gets them if else it would not begin in time, or seems never to be done.
      */
-    fun pressesWithoutAim(ageS: Double, begun: Boolean): Boolean = ageS > JobOrder.BEGIN_S * (if (begun) STUCK_SHARE else UNBEGUN_SHARE)
+    fun pressesWithoutAim(ageS: Double, begun: Boolean): Boolean =
+        ageS > JobOrder.BEGIN_S * (if (begun) STUCK_SHARE else UNBEGUN_SHARE)
 
     private const val UNBEGUN_SHARE = 0.5
     private const val STUCK_SHARE = 2.0
@@ -118,15 +136,27 @@
     private const val LEAD_MARGIN = 1.5
 
     /**
-     * Small demands of one kind taken as one, each task as large as the largest: a swarm's thousand jobs, packed one by one
-     * into hundreds of machines, took the leader's whole share.
+     * Small demands of one kind taken as one, each task as large as the largest: a swarm's thousand jobs, packed one by
+     * one into hundreds of machines, took the leader's whole share.
      */
     fun together(demands: List<Demand>): List<Demand> {
         val merged = LinkedHashMap<Any, Demand>()
         for ((n, d) in demands.withIndex()) {
             val s = d.spec
             val small = d.tasks <= SMALL_TASKS && s.shape == Shape.ARRAY && !s.sameZone && !s.scatter
-            val kind: Any = if (small) listOf(s.jobClass, s.owner, s.machineTypes, s.zone, s.preemptible, d.pressing, d.waitedLong) else n
+            val kind: Any = if (small) {
+                listOf(
+                    s.jobClass,
+                    s.owner,
+                    s.machineTypes,
+                    s.zone,
+                    s.preemptible,
+                    d.pressing,
+                    d.waitedLong,
+                )
+            } else {
+                n
+            }
             val before = merged[kind]
             merged[kind] = if (before == null) d else before.and(d)
         }
@@ -211,16 +241,20 @@
      * Spare demand: as many tasks of each class as arrive while a machine boots and fetches, times the
      * factor of their shape. Arrays get spares only of the cheap kind.
      */
-    fun spares(classes: List<ClassRate>, leadS: (JobSpec) -> Double, gangFactor: Double, arrayFactor: Double): List<Demand> =
-        classes.mapNotNull { c ->
-            val factor = when {
-                c.latest.shape == Shape.GANG -> gangFactor
-                c.latest.preemptible -> arrayFactor
-                else -> 0.0
-            }
-            val n = Math.ceil(c.tasksPerS * leadS(c.latest) * factor).toInt()
-            if (n > 0) Demand(c.latest, n) else null
+    fun spares(
+        classes: List<ClassRate>,
+        leadS: (JobSpec) -> Double,
+        gangFactor: Double,
+        arrayFactor: Double,
+    ): List<Demand> = classes.mapNotNull { c ->
+        val factor = when {
+            c.latest.shape == Shape.GANG -> gangFactor
+            c.latest.preemptible -> arrayFactor
+            else -> 0.0
         }
+        val n = Math.ceil(c.tasksPerS * leadS(c.latest) * factor).toInt()
+        if (n > 0) Demand(c.latest, n) else null
+    }
 }
 
 /** How fast tasks of a class arrive, and its latest job as a pattern for the next ones. */
--- a/src/main/kotlin/flaxfield/fleet/MachineReturner.kt
+++ b/src/main/kotlin/flaxfield/fleet/MachineReturner.kt
@@ -34,8 +34,8 @@
 
     fun run() {
         dropGone()
-        // The list first: it is asked for at its own pace, and behind returns and rentals it grew older than what it tells.
-        // Its further pages come after returns: a list of 4,000 machines has eight.
+        // The list first: it is asked for at its own pace, and behind returns and rentals it grew older than what it
+        // tells. Its further pages come after returns: a list of 4,000 machines has eight.
         if (reading == null) {
             askList()
             giveBack()
@@ -56,7 +56,10 @@
     /** Whether the cloud has listed [host] as stopped by itself. */
     fun failed(host: String): Boolean = host in failed
 
-    /** Asks for the next page. Each page is a request: asked for at once, those of a large fleet were refused for their rate. */
+    /**
+     * Asks for the next page. Each page is a request: asked for at once, those of a large fleet were refused for their
+     * rate.
+     */
     private fun askList() {
         if (listOpen || reading == null && context.nowNs < nextListNs || !rate.allows(context.nowNs)) return
         listOpen = true
@@ -90,7 +93,9 @@
         val limit = ((context.settings.listLagS * 2 + GONE_LISTED_S) * NANOS_PER_SECOND).toLong()
         val unknown = unknownMachines.due(context.view.machines.keys, context.nowNs - limit)
         val retiring = context.view.machines.values
-            .filter { it.phase == MachinePhase.RETIRING && it.name !in gone && !context.isBusy(StoreKeys.HOST + it.name) }
+            .filter {
+                it.phase == MachinePhase.RETIRING && it.name !in gone && !context.isBusy(StoreKeys.HOST + it.name)
+            }
             .filter { context.zones?.mayReturn(it) ?: true }
             .let { ReturnOrder.sort(context, it) }
             .map { it.name }
@@ -107,8 +112,8 @@
     }
 
     /**
-     * The answer to a return proves that the machine and everything on it is gone. Nothing is placed there any more, since
-     * each placement carries the machine's version, and its retirement has changed that.
+     * The answer to a return proves that the machine and everything on it is gone. Nothing is placed there any more,
+     * since each placement carries the machine's version, and its retirement has changed that.
      */
     private fun returned(hosts: List<String>) {
         for (host in hosts) {
@@ -116,11 +121,20 @@
             failed.remove(host)
             val m = context.view.machines[host] ?: continue
             if (!context.leads()) continue
-            // One that was taken in while its return as a stranger was under way may still be given tasks: it is returned anew.
+            // One that was taken in while its return as a stranger was under way may still be given tasks: it is
+            // returned anew.
             if (m.phase == MachinePhase.RETIRING) gone += host
             for (r in context.view.on(host)) {
                 completion.add(
-                    TaskEvent.Left(r.job.id, r.placed.index, r.placed.attempt, host, "machine returned", false, fateUnknown = true),
+                    TaskEvent.Left(
+                        r.job.id,
+                        r.placed.index,
+                        r.placed.attempt,
+                        host,
+                        "machine returned",
+                        false,
+                        fateUnknown = true,
+                    ),
                 )
             }
         }
@@ -132,10 +146,24 @@
         if (gone.isEmpty()) return
         val w = context.view
         gone.retainAll(w.machines.keys)
-        val empty = gone.mapNotNull { w.machines[it] }.filter { w.isEmpty(it.name) && !context.isBusy(StoreKeys.HOST + it.name) }
+        val empty = gone.mapNotNull { w.machines[it] }.filter {
+            w.isEmpty(it.name) &&
+                !context.isBusy(StoreKeys.HOST + it.name)
+        }
         for (some in empty.chunked(context.budget.bulk(context.settings.stateLimits.txnOps))) {
             val conditions = TaskCompletion.fence(context) + some.associate { StoreKeys.HOST + it.name to it.version }
-            if (!context.commit(Cause.FLEET, Txn(conditions, some.map { Change.Drop(StoreKeys.HOST + it.name) }))) return
+            if (!context.commit(
+                    Cause.FLEET,
+                    Txn(
+                        conditions,
+                        some.map {
+                            Change.Drop(StoreKeys.HOST + it.name)
+                        },
+                    ),
+                )
+            ) {
+                return
+            }
         }
     }
 
--- a/src/main/kotlin/flaxfield/fleet/RentalRequester.kt
+++ b/src/main/kotlin/flaxfield/fleet/RentalRequester.kt
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's rentals, from the record of what is wanted over the cloud's answer to the records of the machines. Each is
- * written down before it is sent, so that a new leader asks again under the same name.
+ * The leader's rentals, from the record of what is wanted over the cloud's answer to the records of the machines. Each
+ * is written down before it is sent, so that a new leader asks again under the same name.
  */
 class RentalRequester(private val context: NodeContext, private val cloud: CloudClient, private val rate: CloudRate) {
     private class Refusal(val untilNs: Long, val times: Int)
@@ -55,7 +55,15 @@
     }
 
     private fun rented(h: Rental, r: Rented) {
-        log.info("hire={} type={} zone={} preemptible={} count={} answer={}", h.name, h.machineType, h.zone, h.preemptible, h.count, r)
+        log.info(
+            "hire={} type={} zone={} preemptible={} count={} answer={}",
+            h.name,
+            h.machineType,
+            h.zone,
+            h.preemptible,
+            h.count,
+            r,
+        )
         asking[h.name] = context.nowNs + (context.settings.workers.reportS / 2 * NANOS_PER_SECOND).toLong()
         val offer = Offer(h.machineType, h.zone, h.preemptible)
         when (r) {
@@ -85,7 +93,8 @@
         }
         val last = if (left.size <= room) listOf(Change.Drop(StoreKeys.HIRE + h.name)) else emptyList()
         val conditions =
-            TaskCompletion.fence(context) + (StoreKeys.HIRE + h.name to h.version) + some.associate { StoreKeys.HOST + it to 0uL }
+            TaskCompletion.fence(context) + (StoreKeys.HIRE + h.name to h.version) +
+                some.associate { StoreKeys.HOST + it to 0uL }
         context.commit(Cause.FLEET, Txn(conditions, changes + last))
     }
 
@@ -108,7 +117,10 @@
                 0uL,
             )
         val conditions = TaskCompletion.fence(context) + (StoreKeys.HIRE + h.name to 0uL)
-        val sent = context.commit(Cause.FLEET, Txn(conditions, listOf(Change.Put(StoreKeys.HIRE + h.name, FleetCodec.encode(h)))))
+        val sent = context.commit(
+            Cause.FLEET,
+            Txn(conditions, listOf(Change.Put(StoreKeys.HIRE + h.name, FleetCodec.encode(h)))),
+        )
         if (sent) {
             log.info(
                 "hire={} type={} zone={} preemptible={} count={} term={} wanted",
--- a/src/main/kotlin/flaxfield/fleet/UnknownMachines.kt
+++ b/src/main/kotlin/flaxfield/fleet/UnknownMachines.kt
@@ -1,8 +1,8 @@
 package flaxfield.fleet
 
 /**
- * Machines that the cloud lists and nobody knows: rented by a request that was given up on, or by a process that is dead.
- * Known ones are in records; a machine may be taken in at any time between two lists.
+ * Machines that the cloud lists and nobody knows: rented by a request that was given up on, or by a process that is
+ * dead. Known ones are in records; a machine may be taken in at any time between two lists.
  */
 class UnknownMachines {
     private val sinceNs = HashMap<String, Long>()
@@ -15,8 +15,8 @@
     }
 
     /**
-     * Those that nobody has known since before [beforeNs], nor knows now. A machine was taken in after the last list that
-     * told of it as a stranger, and returned with its tasks while the next list was long in coming.
+     * Those that nobody has known since before [beforeNs], nor knows now. A machine was taken in after the last list
+     * that told of it as a stranger, and returned with its tasks while the next list was long in coming.
      */
     fun due(known: Set<String>, beforeNs: Long): List<String> =
         sinceNs.filter { (host, since) -> since < beforeNs && host !in known }.keys.sorted()
--- a/src/main/kotlin/flaxfield/gangs/GangRound.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangRound.kt
@@ -53,7 +53,11 @@
         if (!spec.sameZone) return oneRound(job, fit)
         var best = Round.Short(0, spec.taskCount)
         val zones = fit.groupBy { it.machine.zone }.values
-            .sortedWith(compareByDescending<List<Seat>> { z -> z.any { spec.image in it.images } }.thenByDescending { it.size })
+            .sortedWith(
+                compareByDescending<List<Seat>> { z ->
+                    z.any { spec.image in it.images }
+                }.thenByDescending { it.size },
+            )
         for (zone in zones) {
             when (val r = oneRound(job, zone)) {
                 is Round.Full -> return r
@@ -68,7 +72,8 @@
         val rule = ZoneRule(spec, emptyList())
         val assumed = LinkedHashMap<Int, Seat>()
         val minimum = minimum(job)
-        // Early stop before the first task: without scatter the seats' room alone tells that the minimum is out of reach.
+        // Early stop before the first task: without scatter the seats' room alone tells that the minimum is out of
+        // reach.
         val room = fit.sumOf { minOf(it.free.count(spec.need), spec.taskCount) }
         if (room < minimum && !spec.scatter) return Round.Short(room, minimum - room - 1)
         val order = fit.sortedWith(
--- a/src/main/kotlin/flaxfield/gangs/GangScheduler.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangScheduler.kt
@@ -69,7 +69,9 @@
     /** The machines that carry a valid claim, by the gang that it is for. */
     private fun claimsByGang(): Map<String, List<Machine>> {
         val view = context.view
-        return view.claimed.mapNotNull { view.machines[it] }.filter { view.claimOn(it) != null }.groupBy { it.claim?.job.orEmpty() }
+        return view.claimed.mapNotNull {
+            view.machines[it]
+        }.filter { view.claimOn(it) != null }.groupBy { it.claim?.job.orEmpty() }
     }
 
     /** Whether [gang] waits for room, and nothing of it is on its way. */
@@ -96,10 +98,12 @@
         val atLimit = gathers?.takeIf { survey.use.allows(it.spec.owner, it.spec.need) < it.spec.taskCount }
         val ordered = context.inOrder(waiting, survey.use)
         for (gang in Gathering.first(gathers, ordered)) {
-            // It leaves its team's limit to the other for a while only: behind one that never came under it, it waited for minutes.
+            // It leaves its team's limit to the other for a while only: behind one that never came under it, it waited
+            // for minutes.
             if (atLimit != null && !context.waitedLong(gang) && Gathering.yields(gang, atLimit)) continue
             if (!isParked(gang) && survey.known.runs < MOST_ROUNDS) round(gang, survey)
-            // What is there for the gang that gathers is no longer there for those after it; at its team's limit it has no use for it.
+            // What is there for the gang that gathers is no longer there for those after it; at its team's limit it has
+            // no use for it.
             val keeps = gang === gathers && gang !== atLimit && gang.id !in claiming
             if (keeps) survey.seats = Gathering.without(gang, survey.seats, survey.cleared(gang))
         }
@@ -116,14 +120,22 @@
         for (m in context.view.machines.values) {
             if (!m.takesWork || context.zones?.admits(m) == false) continue
             val room = context.view.free(m) ?: continue
-            free += shapes.filter { ZoneRule.kindAllowed(it, m.machineType, m.zone, m.preemptible) }.sumOf { room.count(it.need) }
+            free +=
+                shapes.filter {
+                    ZoneRule.kindAllowed(it, m.machineType, m.zone, m.preemptible)
+                }.sumOf { room.count(it.need) }
         }
         if (free > lastFree) parked.replaceAll { _, p -> Parked(0, p.times) }
         lastFree = free
     }
 
     /** What decides on which machines a gang may go and how many of its tasks fit there. */
-    private data class Kind(val need: Room, val machineTypes: Set<String>?, val zone: String?, val preemptible: Boolean) {
+    private data class Kind(
+        val need: Room,
+        val machineTypes: Set<String>?,
+        val zone: String?,
+        val preemptible: Boolean,
+    ) {
         constructor(s: JobSpec) : this(s.need, s.machineTypes, s.zone, s.preemptible)
     }
 
@@ -134,7 +146,11 @@
     }
 
     /** Whether anything on the machine might make way for a gang; most machines carry only gangs that run. */
-    private fun mayEmpty(host: String) = context.view.jobsOn(host).any { !it.isGang || it.cancelled || it.id in context.view.halting }
+    private fun mayEmpty(host: String) = context.view.jobsOn(host).any {
+        !it.isGang ||
+            it.cancelled ||
+            it.id in context.view.halting
+    }
 
     private fun seat(m: Machine): Seat? {
         if (!m.takesWork || context.view.claimOn(m) != null || context.isBusy(StoreKeys.HOST + m.name)) return null
@@ -151,7 +167,11 @@
     private fun round(job: Job, survey: GangSurvey) {
         if (survey.use.allows(job.spec.owner, job.spec.need) < job.spec.taskCount) return park(job, "the team's limit")
         val plain = survey.plain(job)
-        if (plain is Round.Full && (warm(job, plain) || !fetchIsSlow(job, plain))) return claim(job, plain.seats, evict = false, survey)
+        if (plain is Round.Full &&
+            (warm(job, plain) || !fetchIsSlow(job, plain))
+        ) {
+            return claim(job, plain.seats, evict = false, survey)
+        }
         // Without room, or only where the image must be fetched for longer than tasks take to make way.
         val second = survey.afterEviction(job)
         val best = if (second is Round.Full && (plain is Round.Short || warm(job, second))) second else plain
@@ -172,7 +192,8 @@
     private fun warm(job: Job, r: Round.Full) = r.seats.values.all { job.spec.image in it.images }
 
     /** Whether the image takes longer to fetch than tasks that save take to make way. */
-    private fun fetchIsSlow(job: Job, r: Round.Full): Boolean = fetchS(job, r) > context.settings.workers.reportS * CLAIM_REPORTS
+    private fun fetchIsSlow(job: Job, r: Round.Full): Boolean =
+        fetchS(job, r) > context.settings.workers.reportS * CLAIM_REPORTS
 
     private fun fetchS(job: Job, r: Round.Full): Double =
         r.seats.values.mapNotNull { context.view.machineTypes[it.machine.machineType]?.fetchGbPerS }.minOrNull()?.let {
@@ -182,14 +203,27 @@
             ?: 0.0
 
     private fun waitsForWarm(job: Job, r: Round.Full, survey: GangSurvey): Boolean {
-        val aims = context.settings.objectives.filter { it.kind == "wait" && it.jobClass == job.spec.jobClass }.map { it.withinS }
+        val aims = context.settings.objectives.filter {
+            it.kind == "wait" && it.jobClass == job.spec.jobClass
+        }.map { it.withinS }
         val w = context.view
         val busyWarm = survey.busyWithGangs.count { (m, room) ->
             job.spec.image in room.images && ZoneRule.kindAllowed(job.spec, m.machineType, m.zone, m.preemptible)
         }
-        val rivals = w.jobs.values.filter { it.isGang && !it.cancelled && it.placedCount == 0 && it.spec.image == job.spec.image }
+        val rivals = w.jobs.values.filter {
+            it.isGang &&
+                !it.cancelled &&
+                it.placedCount == 0 &&
+                it.spec.image == job.spec.image
+        }
             .sumOf { it.spec.taskCount }
-        return WarmWait.waits((context.nowMs - job.submittedMs) / MILLIS_PER_SECOND, fetchS(job, r), aims, busyWarm, rivals)
+        return WarmWait.waits(
+            (context.nowMs - job.submittedMs) / MILLIS_PER_SECOND,
+            fetchS(job, r),
+            aims,
+            busyWarm,
+            rivals,
+        )
     }
 
     private fun giveBack(job: Job, r: Round.Full) {
@@ -199,14 +233,30 @@
     private fun claim(job: Job, seats: Map<Int, Seat>, evict: Boolean, survey: GangSurvey) {
         val term = survey.term
         val perHost = seats.values.groupingBy { it.machine }.eachCount()
-        if (perHost.size > context.settings.stateLimits.txnOps) return park(job, "more machines than one transaction takes")
+        if (perHost.size >
+            context.settings.stateLimits.txnOps
+        ) {
+            return park(job, "more machines than one transaction takes")
+        }
         val conditions = HashMap(TaskCompletion.fence(context))
         val changes = perHost.map { (m, n) ->
             conditions[StoreKeys.HOST + m.name] = m.version
-            Change.Put(StoreKeys.HOST + m.name, FleetCodec.encode(m.copy(claim = Claim(job.id, term, n, evict, job.nextGangAttempt()))))
+            Change.Put(
+                StoreKeys.HOST + m.name,
+                FleetCodec.encode(m.copy(claim = Claim(job.id, term, n, evict, job.nextGangAttempt()))),
+            )
         }
         val sent = context.commit(Cause.GANG, Txn(conditions, changes)) { outcome ->
-            log.info("job={} term={} claims={} evict={} outcome={}", job.id, term, perHost.keys.map { it.name }, evict, outcome)
+            log.info(
+                "job={} term={} claims={} evict={} outcome={}",
+                job.id,
+                term,
+                perHost.keys.map {
+                    it.name
+                },
+                evict,
+                outcome,
+            )
         }
         if (sent) {
             claiming[job.id] = perHost.keys.map { it.name }
@@ -267,7 +317,14 @@
         context.commit(Cause.GANG, Txn(conditions, changes)) { outcome ->
             if (outcome is Outcome.Committed) {
                 for ((i, s) in seats) {
-                    log.info("job={} task={} attempt={} host={} term={} gang placed", job.id, i, attempt, s.machine.name, term)
+                    log.info(
+                        "job={} task={} attempt={} host={} term={} gang placed",
+                        job.id,
+                        i,
+                        attempt,
+                        s.machine.name,
+                        term,
+                    )
                 }
             } else {
                 log.info("job={} term={} gang commit outcome={}", job.id, term, outcome)
--- a/src/main/kotlin/flaxfield/gangs/GangSurvey.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangSurvey.kt
@@ -12,7 +12,13 @@
 import flaxfield.quota.TeamUse
 
 /** What one run of the gang scheduler looks at, and what it has found out on the way. */
-class GangSurvey(private val context: NodeContext, var seats: List<Seat>, val use: TeamUse, val guaranteed: Set<String>, val term: ULong) {
+class GangSurvey(
+    private val context: NodeContext,
+    var seats: List<Seat>,
+    val use: TeamUse,
+    val guaranteed: Set<String>,
+    val term: ULong,
+) {
     /** Rounds that are known to be short. */
     val known = ShortRounds()
     private val evictable = HashMap<Rights, Map<String, Room>>()
@@ -30,7 +36,10 @@
     /** The seats as they would be without the tasks that this gang may take the place of. */
     fun cleared(job: Job): List<Seat> {
         val room = evictable.getOrPut(rights(job)) { evictable(job) }
-        return seats.map { s -> room[s.machine.name]?.let { Seat(s.machine, s.session, s.free + it, s.images, s.empty) } ?: s.copy() }
+        return seats.map { s ->
+            room[s.machine.name]?.let { Seat(s.machine, s.session, s.free + it, s.images, s.empty) }
+                ?: s.copy()
+        }
     }
 
     /** The round of [job] once others have made way for it. */
--- a/src/main/kotlin/flaxfield/gangs/Gathering.kt
+++ b/src/main/kotlin/flaxfield/gangs/Gathering.kt
@@ -20,10 +20,11 @@
     fun lateMs(nowMs: Long): Long = nowMs - (JobOrder.BEGIN_S * LATE_SHARE * MILLIS_PER_SECOND).toLong()
 
     /**
-     * [ordered] with the gang that room is gathered for at its head. Whoever rents machines must keep to the same order: room
-     * was kept for one gang and rented for another, and neither ever began.
+     * [ordered] with the gang that room is gathered for at its head. Whoever rents machines must keep to the same
+     * order: room was kept for one gang and rented for another, and neither ever began.
      */
-    fun first(gathers: Job?, ordered: List<Job>): List<Job> = listOfNotNull(gathers) + ordered.filter { it.id != gathers?.id }
+    fun first(gathers: Job?, ordered: List<Job>): List<Job> =
+        listOfNotNull(gathers) + ordered.filter { it.id != gathers?.id }
 
     /** The gang to gather for: the largest of those submitted before [lateMs], the oldest of these. */
     fun next(waiting: Collection<Job>, lateMs: Long): Job? = waiting.filter {
@@ -34,8 +35,9 @@
         .minWithOrNull(compareBy({ -it.spec.taskCount }, { it.submittedMs }, { it.id }))
 
     /**
-     * Whether [job] leaves its team's limit to a gang that gathers and is kept from starting by that limit alone. Machines
-     * were kept for such a gang instead, which it could not use, and an earlier gang of its team found none for minutes.
+     * Whether [job] leaves its team's limit to a gang that gathers and is kept from starting by that limit alone.
+     * Machines were kept for such a gang instead, which it could not use, and an earlier gang of its team found none
+     * for minutes.
      */
     fun yields(job: Job, atLimit: Job): Boolean =
         job !== atLimit && job.spec.owner == atLimit.spec.owner && job.submittedMs > atLimit.submittedMs
@@ -46,7 +48,13 @@
      */
     fun without(job: Job, seats: List<Seat>, cleared: List<Seat>): List<Seat> {
         val fit = cleared.filter { fits(job, it) }
-        val zone = if (job.spec.sameZone) fit.groupBy { it.machine.zone }.values.maxByOrNull { z -> tasks(job, z) } else fit
+        val zone = if (job.spec.sameZone) {
+            fit.groupBy {
+                it.machine.zone
+            }.values.maxByOrNull { z -> tasks(job, z) }
+        } else {
+            fit
+        }
         val kept = HashSet<String>()
         var left = job.spec.taskCount
         for (s in zone.orEmpty().sortedWith(compareBy({ if (it.empty) 0 else 1 }, { it.machine.name }))) {
@@ -62,9 +70,10 @@
         return minOf(most, seats.sumOf { minOf(it.free.count(job.spec.need), most) })
     }
 
-    private fun fits(job: Job, s: Seat) = ZoneRule.kindAllowed(job.spec, s.machine.machineType, s.machine.zone, s.machine.preemptible) &&
-        s.machine.name !in job.errorHosts &&
-        s.free.holds(job.spec.need)
+    private fun fits(job: Job, s: Seat) =
+        ZoneRule.kindAllowed(job.spec, s.machine.machineType, s.machine.zone, s.machine.preemptible) &&
+            s.machine.name !in job.errorHosts &&
+            s.free.holds(job.spec.need)
 }
 
 /**
@@ -104,5 +113,6 @@
         return r
     }
 
-    private fun shape(s: JobSpec, rights: String) = Shape(s.need, s.machineTypes, s.zone, s.sameZone, s.scatter, s.preemptible, rights)
+    private fun shape(s: JobSpec, rights: String) =
+        Shape(s.need, s.machineTypes, s.zone, s.sameZone, s.scatter, s.preemptible, rights)
 }
--- a/src/main/kotlin/flaxfield/jobs/CompletionRules.kt
+++ b/src/main/kotlin/flaxfield/jobs/CompletionRules.kt
@@ -31,11 +31,19 @@
     private const val MAX_BACKOFF_STEPS = 5
 
     /**
-     * The job after [events], or the same object if none of them applies. With [tracksLosses] the record keeps which tasks
-     * were lost until they run again.
+     * The job after [events], or the same object if none of them applies. With [tracksLosses] the record keeps which
+     * tasks were lost until they run again.
      */
-    fun apply(job: Job, events: Collection<TaskEvent>, nowMs: Long, backoffMs: Long, tracksLosses: Boolean = false): Job {
-        val done = events.filter { it is TaskEvent.Done && job.placed(it.index)?.attempt == it.attempt }.map { it.index }
+    fun apply(
+        job: Job,
+        events: Collection<TaskEvent>,
+        nowMs: Long,
+        backoffMs: Long,
+        tracksLosses: Boolean = false,
+    ): Job {
+        val done = events.filter {
+            it is TaskEvent.Done && job.placed(it.index)?.attempt == it.attempt
+        }.map { it.index }
         var j = when {
             done.isEmpty() -> job
             // The tasks of a gang complete together: if one is done, all are.
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobLookup.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobLookup.kt
@@ -66,7 +66,11 @@
     }
 
     private fun read(id: String, asked: List<Ask>) {
-        if (reading >= MOST_READS || !context.budget.take(Cause.READ, 0, context.nowNs)) return finish(id, Ended.Unclear, asked)
+        if (reading >= MOST_READS ||
+            !context.budget.take(Cause.READ, 0, context.nowNs)
+        ) {
+            return finish(id, Ended.Unclear, asked)
+        }
         reading++
         context.store.get(StoreKeys.OVER + id) { read ->
             context.post {
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobs.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobs.kt
@@ -15,7 +15,12 @@
 
     /** Remembers a job that is finished for good. */
     fun remember(job: Finished) {
-        val entries = cache ?: Caffeine.newBuilder().maximumSize(most).executor(Runnable::run).build<String, Finished>().also { cache = it }
+        val entries =
+            cache
+                ?: Caffeine.newBuilder().maximumSize(most).executor(Runnable::run).build<String, Finished>().also {
+                    cache =
+                        it
+                }
         entries.put(job.id, job)
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/Job.kt
+++ b/src/main/kotlin/flaxfield/jobs/Job.kt
@@ -22,7 +22,8 @@
     operator fun times(n: Int) = Room(cpus * n, gpus * n, ram * n)
 
     /** Whether a task of size [need] fits in here. */
-    fun holds(need: Room): Boolean = cpus + EPSILON >= need.cpus && gpus + EPSILON >= need.gpus && ram + EPSILON >= need.ram
+    fun holds(need: Room): Boolean =
+        cpus + EPSILON >= need.cpus && gpus + EPSILON >= need.gpus && ram + EPSILON >= need.ram
 
     /** How many tasks of size [need] fit in here. */
     fun count(need: Room): Int = minOf(parts(cpus, need.cpus), parts(gpus, need.gpus), parts(ram, need.ram))
@@ -73,8 +74,8 @@
     val placed: Map<Int, Placed>,
     val version: ULong,
     /**
-     * Tasks that left a machine without completing and are not yet known to run again. Kept only where disruption budgets are
-     * on: in the record, so that a new leader knows of losses that it has not seen.
+     * Tasks that left a machine without completing and are not yet known to run again. Kept only where disruption
+     * budgets are on: in the record, so that a new leader knows of losses that it has not seen.
      */
     val interrupted: Set<Int> = emptySet(),
 ) {
@@ -112,7 +113,9 @@
      * It failed on several machines, more often than it stands on others now, and no task of it has completed: most
      * likely it was submitted with a mistake. It is tried on and on, at nobody else's cost.
      */
-    val suspect: Boolean get() = errorHosts.size >= CompletionRules.FAULTY_JOB_HOSTS && doneCount == 0 && placedCount < errors
+    val suspect: Boolean get() = errorHosts.size >= CompletionRules.FAULTY_JOB_HOSTS &&
+        doneCount == 0 &&
+        placedCount < errors
 
     /** Whether it comes after all others: it is [suspect], and has not been due in vain since before [lateMs]. */
     fun comesLast(lateMs: Long): Boolean = suspect && retryAtMs >= lateMs
@@ -188,12 +191,15 @@
             val c = next[number] ?: Chunk.empty()
             val done = c.done.clone() as BitSet
             for (i in part) done.set(i)
-            next[number] = c.copy(done = done, placed = c.placed - part.toSet(), interrupted = c.interrupted - part.toSet())
+            next[number] =
+                c.copy(done = done, placed = c.placed - part.toSet(), interrupted = c.interrupted - part.toSet())
         }
         return copy(chunks = next)
     }
 
-    /** Whether a change of one chunk must be told in the head's key as well, since other chunks' changes depend on it. */
+    /**
+     * Whether a change of one chunk must be told in the head's key as well, since other chunks' changes depend on it.
+     */
     val boundTogether: Boolean get() = isGang || spec.sameZone || spec.scatter
 
     /** Whether the head's own fields are those of [other]: all that the head's key holds besides chunk 0. */
--- a/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
@@ -51,7 +51,11 @@
         val refusal = Validation.refuse(spec, context.settings.teams, context.view.machineTypes)
         if (refusal != null) return refused(spec, refusal, reply)
         if (stateSeemsAway()) return later(reply, "the state service does not answer")
-        accept(Job(spec, context.nowMs, null, emptyList(), 0, 0, chunkTasks, mapOf(0 to Chunk.empty()), 0uL), reply, mayBegin = true)
+        accept(
+            Job(spec, context.nowMs, null, emptyList(), 0, 0, chunkTasks, mapOf(0 to Chunk.empty()), 0uL),
+            reply,
+            mayBegin = true,
+        )
     }
 
     private fun accept(job: Job, reply: Reply, mayBegin: Boolean) {
@@ -89,8 +93,15 @@
                     }
                     answer(reply, 201, mapOf("id" to spec.id, "phase" to "pending"))
                 }
-                // A machine or the assignment has changed meanwhile, or the job is known already: the plain record tells.
-                is Outcome.Conflict -> if (begun != null) accept(job, reply, mayBegin = false) else status(spec.id, reply)
+                // A machine or the assignment has changed meanwhile, or the job is known already: the plain record
+                // tells.
+                is Outcome.Conflict -> if (begun !=
+                    null
+                ) {
+                    accept(job, reply, mayBegin = false)
+                } else {
+                    status(spec.id, reply)
+                }
                 else -> later(reply, "the state service does not answer")
             }
         }
@@ -151,7 +162,8 @@
         val key = StoreKeys.JOB + id
         if (context.isBusy(key)) return confirmed(id, reply) { cancel(id, reply, tries - 1) }
         val cancelled = job.copy(cancelledMs = context.nowMs)
-        // Of a job with several chunks a placement may just be committed in one: only those after the cancellation fail.
+        // Of a job with several chunks a placement may just be committed in one: only those after the cancellation
+        // fail.
         val txn = if (job.placedCount == 0 && job.spec.taskCount <= job.chunkTasks) {
             TaskCompletion.over(context, cancelled, aborted = true, fenced = false)
         } else {
@@ -260,7 +272,8 @@
 
     companion object {
         /** How many tasks' records share a value; the first chunk shares it with the job itself. */
-        fun chunkTasks(limits: StateLimits): Int = (limits.valueKb * BYTES_PER_KIB * CHUNK_SHARE / RECORD_BYTES).toInt().coerceAtLeast(1)
+        fun chunkTasks(limits: StateLimits): Int =
+            (limits.valueKb * BYTES_PER_KIB * CHUNK_SHARE / RECORD_BYTES).toInt().coerceAtLeast(1)
 
         private val log = LoggerFactory.getLogger("flaxfield.jobs")
 
--- a/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
+++ b/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
@@ -49,7 +49,9 @@
     private fun look(job: Job, seen: Seen) {
         val stillS = (context.nowNs - seen.sinceNs) / NANOS_PER_SECOND
         val known = context.view.machines::containsKey
-        if (stillS > context.settings.workers.leaseS && StallRules.reason(job, context.nowMs, known) == Stall.HOST_GONE) {
+        if (stillS > context.settings.workers.leaseS &&
+            StallRules.reason(job, context.nowMs, known) == Stall.HOST_GONE
+        ) {
             // A host's record goes only with the answer to its return, and names are never used again.
             for (p in job.allPlaced().filter { !known(it.host) }) {
                 completion.add(TaskEvent.Left(job.id, p.index, p.attempt, p.host, "host is gone", false))
@@ -77,7 +79,9 @@
         /** How often the records are looked at, in leases. */
         const val LOOK_LEASES = 1.0
 
-        /** The operators ask that no job goes 75 s without an answered question; one that stands still as long is named. */
+        /**
+         * The operators ask that no job goes 75 s without an answered question; one that stands still as long is named.
+         */
         const val STILL_S = 75.0
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/StarvationTracker.kt
+++ b/src/main/kotlin/flaxfield/jobs/StarvationTracker.kt
@@ -7,8 +7,8 @@
  * [MOST_S] while a machine that fits has room and its team is under its limit: what keeps machines or a part of a limit
  * for others gives way to a job that has waited for most of that.
  *
- * A placement ends the wait only when it has stood for a while: one that was taken back before its task began, since its
- * machine was to be returned, made a job wait from the beginning.
+ * A placement ends the wait only when it has stood for a while: one that was taken back before its task began, since
+ * its machine was to be returned, made a job wait from the beginning.
  */
 class StarvationTracker {
     private val waitingSinceMs = HashMap<String, Long>()
@@ -35,7 +35,10 @@
         if (nowMs - since > MOST_S * STANDS_SHARE * MILLIS_PER_SECOND) waitingSinceMs.remove(id)
     }
 
-    /** Whether [job] has waited so long that nothing is kept from it any more. What seems to be a mistake has no such claim. */
+    /**
+     * Whether [job] has waited so long that nothing is kept from it any more. What seems to be a mistake has no such
+     * claim.
+     */
     fun long(job: Job, nowMs: Long): Boolean {
         if (job.suspect || job.placedCount > 0) return false
         val since = waitingSinceMs[job.id] ?: return false
--- a/src/main/kotlin/flaxfield/jobs/TaskCompletion.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskCompletion.kt
@@ -30,7 +30,12 @@
     fun run() {
         val term = context.term() ?: return
         if (!context.mayDecide()) return
-        val wanted by lazy(LazyThreadSafetyMode.NONE) { context.view.jobs.values.any { !it.cancelled && it.pendingCount > 0 } }
+        val wanted by lazy(LazyThreadSafetyMode.NONE) {
+            context.view.jobs.values.any {
+                !it.cancelled &&
+                    it.pendingCount > 0
+            }
+        }
         for (id in inOrder()) {
             val proofs = pending[id] ?: continue
             val job = context.view.jobs[id]
@@ -39,8 +44,8 @@
                 pending.remove(id)
                 continue
             }
-            // Asked when they are committed, not when they come: a controller inside a lost zone learnt of the loss only after the
-            // reports of its return, and had tasks started again whose class forbids it.
+            // Asked when they are committed, not when they come: a controller inside a lost zone learnt of the loss
+            // only after the reports of its return, and had tasks started again whose class forbids it.
             val events = proofs.events.values.filterNot { context.zones?.holdsBack(it) ?: false }
             if (events.isEmpty()) continue
             val hurry = hurry(job, events)
@@ -58,21 +63,27 @@
         if (context.leads()) sweep()
     }
 
-    /** The jobs with proofs, in the order in which these are committed: as they came, the most urgent first in a recovery. */
+    /**
+     * The jobs with proofs, in the order in which these are committed: as they came, the most urgent first in a
+     * recovery.
+     */
     private fun inOrder(): List<String> {
         val zones = context.zones?.takeIf { it.isRecovering } ?: return pending.keys.toList()
         val (known, over) = pending.keys.partition { it in context.view.jobs }
         return zones.sort(known.mapNotNull { context.view.jobs[it] }, context.use(), lateMs = 0).map { it.id } + over
     }
 
-    /** Whether someone waits for just this: a task to start again, a gang, or the end of this part's share of the job. */
+    /**
+     * Whether someone waits for just this: a task to start again, a gang, or the end of this part's share of the job.
+     */
     private fun hurry(job: Job, events: List<TaskEvent>): Boolean = job.isGang ||
         job.cancelled ||
         events.any { it is TaskEvent.Left } ||
         events.size >= job.placedCount ||
         events.size >= job.allPlaced().count { mine(it.host) }
 
-    private fun small(job: Job) = !job.isGang && !job.cancelled && job.spec.taskCount < FEW && job.spec.priority == Priority.IDLE
+    private fun small(job: Job) =
+        !job.isGang && !job.cancelled && job.spec.taskCount < FEW && job.spec.priority == Priority.IDLE
 
     private fun mine(host: String) = context.view.machines[host]?.let { context.owns(it) } ?: true
 
@@ -87,7 +98,9 @@
 
     private fun settle(job: Job, all: List<TaskEvent>, term: ULong, cause: Cause): Boolean {
         // As many chunks as one transaction holds; the others follow in the next.
-        val some = all.mapTo(LinkedHashSet()) { it.index / job.chunkTasks }.take(chunksAtOnce(context.settings.stateLimits)).toSet()
+        val some = all.mapTo(LinkedHashSet()) {
+            it.index / job.chunkTasks
+        }.take(chunksAtOnce(context.settings.stateLimits)).toSet()
         if ((some + 0).any { context.isBusy(StoreKeys.chunk(job.id, it)) }) return false
         val events = all.filter { it.index / job.chunkTasks in some }
         val next = CompletionRules.apply(
@@ -111,7 +124,16 @@
         }
         return context.commit(cause, txn) { outcome ->
             if (outcome is Outcome.Committed) {
-                for (e in events) log.info("job={} task={} attempt={} term={} {}", e.job, e.index, e.attempt, term, describe(e))
+                for (e in events) {
+                    log.info(
+                        "job={} task={} attempt={} term={} {}",
+                        e.job,
+                        e.index,
+                        e.attempt,
+                        term,
+                        describe(e),
+                    )
+                }
                 if (over) log.info("job={} over done={} cancelled={}", next.id, next.doneCount, next.cancelled)
             }
         }
@@ -167,15 +189,18 @@
         private const val TXN_KB = 64.0
 
         /** How many chunks of one job a transaction may change besides its head, each at most a value in size. */
-        fun chunksAtOnce(limits: StateLimits): Int = minOf(limits.txnOps / 2, (TXN_KB / limits.valueKb).toInt() - 1).coerceAtLeast(1)
+        fun chunksAtOnce(limits: StateLimits): Int =
+            minOf(limits.txnOps / 2, (TXN_KB / limits.valueKb).toInt() - 1).coerceAtLeast(1)
 
         /** The condition that every decision's transaction carries: the assignment it was made under. */
-        fun fence(context: NodeContext): Map<String, ULong> = mapOf(StoreKeys.ASSIGNMENT to context.view.version(StoreKeys.ASSIGNMENT))
+        fun fence(context: NodeContext): Map<String, ULong> = mapOf(
+            StoreKeys.ASSIGNMENT to context.view.version(StoreKeys.ASSIGNMENT),
+        )
 
         /**
-         * The transaction that replaces [old]'s record by [next]. The head's version is always a condition, since it tells
-         * of a cancellation; it is written only if it changes, or if the job's tasks depend on one another. Written each
-         * time, it made parts that place and end tasks in different chunks of one array fail one another.
+         * The transaction that replaces [old]'s record by [next]. The head's version is always a condition, since it
+         * tells of a cancellation; it is written only if it changes, or if the job's tasks depend on one another.
+         * Written each time, it made parts that place and end tasks in different chunks of one array fail one another.
          */
         fun write(old: Job, next: Job, term: ULong): Txn {
             val head = old.boundTogether || !old.sameHead(next)
@@ -183,9 +208,21 @@
             val conditions = HashMap<String, ULong>()
             conditions[StoreKeys.ASSIGNMENT] = term
             conditions[StoreKeys.JOB + old.id] = old.version
-            for (n in changed.keys) conditions[StoreKeys.chunk(old.id, n)] = if (n == 0) old.version else old.chunks[n]?.version ?: 0uL
+            for (n in changed.keys) {
+                conditions[StoreKeys.chunk(old.id, n)] =
+                    if (n == 0) old.version else old.chunks[n]?.version ?: 0uL
+            }
             val puts = changed.map { (n, c) ->
-                Change.Put(StoreKeys.chunk(old.id, n), if (n == 0) JobCodec.encodeHead(next) else JobCodec.encodeChunk(c))
+                Change.Put(
+                    StoreKeys.chunk(old.id, n),
+                    if (n ==
+                        0
+                    ) {
+                        JobCodec.encodeHead(next)
+                    } else {
+                        JobCodec.encodeChunk(c)
+                    },
+                )
             }
             return Txn(conditions, puts)
         }
@@ -198,7 +235,8 @@
             if (fenced) conditions += fence(context)
             val parts = job.chunks.keys.filter { it != 0 && context.view.version(StoreKeys.chunk(job.id, it)) != 0uL }
             val changes = ArrayList<Change>()
-            changes += Change.Put(StoreKeys.OVER + job.id, JobCodec.encodeFinished(Finished(job.id, aborted, job.doneCount)))
+            changes +=
+                Change.Put(StoreKeys.OVER + job.id, JobCodec.encodeFinished(Finished(job.id, aborted, job.doneCount)))
             changes += Change.Drop(head)
             for (n in parts.take(context.settings.stateLimits.txnOps - changes.size)) {
                 val key = StoreKeys.chunk(job.id, n)
--- a/src/main/kotlin/flaxfield/jobs/Validation.kt
+++ b/src/main/kotlin/flaxfield/jobs/Validation.kt
@@ -10,13 +10,18 @@
         val team = teams[s.owner] ?: return "unknown team ${s.owner}"
         if (machineTypes.values.none { allowed(s, it) }) return "a task fits no allowed machine type"
         val asked = if (s.shape == Shape.GANG) s.need * s.taskCount else s.need
-        if (over(asked.cpus, team.cpusMax) || over(asked.gpus, team.gpusMax)) return "more than the limit of team ${team.name}"
+        if (over(asked.cpus, team.cpusMax) ||
+            over(asked.gpus, team.gpusMax)
+        ) {
+            return "more than the limit of team ${team.name}"
+        }
         return null
     }
 
     /** Whether a task of [s] may run on machines of type [f] in at least one zone. */
-    fun allowed(s: JobSpec, f: MachineType): Boolean =
-        (s.machineTypes == null || f.label in s.machineTypes) && f.room.holds(s.need) && (s.zone == null || s.zone in f.zones)
+    fun allowed(s: JobSpec, f: MachineType): Boolean = (s.machineTypes == null || f.label in s.machineTypes) &&
+        f.room.holds(s.need) &&
+        (s.zone == null || s.zone in f.zones)
 
     private fun over(asked: Double, limit: Double) = limit > 0.0 && asked > limit + EPSILON
 
--- a/src/main/kotlin/flaxfield/members/Members.kt
+++ b/src/main/kotlin/flaxfield/members/Members.kt
@@ -26,7 +26,8 @@
     }
 
     /** Between 0 and 1, the same for a host at all times. */
-    private fun draw(host: String): Double = (mix(host, "") shr DRAW_SHIFT).toDouble() / (1uL shl (ULong.SIZE_BITS - DRAW_SHIFT)).toDouble()
+    private fun draw(host: String): Double =
+        (mix(host, "") shr DRAW_SHIFT).toDouble() / (1uL shl (ULong.SIZE_BITS - DRAW_SHIFT)).toDouble()
 
     private fun mix(host: String, name: String): ULong {
         var h = FNV_START
--- a/src/main/kotlin/flaxfield/members/MembershipManager.kt
+++ b/src/main/kotlin/flaxfield/members/MembershipManager.kt
@@ -22,7 +22,10 @@
     /** This process is about to end: it asks for no lease any more. */
     private var leaving = false
 
-    /** Ends the lease and with it membership and leadership; [done] once the state service has answered, or at once without one. */
+    /**
+     * Ends the lease and with it membership and leadership; [done] once the state service has answered, or at once
+     * without one.
+     */
     fun leave(done: () -> Unit) {
         leaving = true
         context.leaseUntilNs = 0
@@ -99,7 +102,9 @@
                 key to Change.Put(key, MemberCodec.encode(context.me), held)
             }
             is MemberStep.Lead -> StoreKeys.LEADER to Change.Put(StoreKeys.LEADER, MemberCodec.encode(context.me), held)
-            is MemberStep.Assign -> StoreKeys.ASSIGNMENT to Change.Put(StoreKeys.ASSIGNMENT, MemberCodec.encode(context.me, step.members))
+            is MemberStep.Assign ->
+                StoreKeys.ASSIGNMENT to
+                    Change.Put(StoreKeys.ASSIGNMENT, MemberCodec.encode(context.me, step.members))
         }
         if (context.isBusy(key)) return
         val conditions = HashMap<String, ULong>()
--- a/src/main/kotlin/flaxfield/members/PartOwnership.kt
+++ b/src/main/kotlin/flaxfield/members/PartOwnership.kt
@@ -4,8 +4,8 @@
 import flaxfield.store.ClusterView
 
 /**
- * Which member owns which machine under the assignment in [view], and which machines are this node's. Kept for as long as
- * a term lasts: a hash over every machine at each turn costs too much.
+ * Which member owns which machine under the assignment in [view], and which machines are this node's. Kept for as long
+ * as a term lasts: a hash over every machine at each turn costs too much.
  */
 class PartOwnership(private val view: ClusterView, private val me: Member, private val zones: Int) {
     private val owners = HashMap<String, String?>()
@@ -16,7 +16,9 @@
     /** The member whose part [host], which lies in [zone], belongs to; null without an assignment. */
     fun owner(host: String, zone: String): String? {
         val assignment = view.assignment ?: return null
-        if (assignment.term != ownersTerm || owners.size > maxOf(OWNERS_KEPT, view.machines.size * OWNERS_PER_MACHINE)) {
+        if (assignment.term != ownersTerm ||
+            owners.size > maxOf(OWNERS_KEPT, view.machines.size * OWNERS_PER_MACHINE)
+        ) {
             owners.clear()
             ownersTerm = assignment.term
             mineAt = NEVER
@@ -39,7 +41,9 @@
         /** Names heard of and not known are forgotten with the rest at this many, */
         const val OWNERS_KEPT = 4_000
 
-        /** or at this many for each known machine: below that the table was made anew at each look-up of a larger fleet. */
+        /**
+         * or at this many for each known machine: below that the table was made anew at each look-up of a larger fleet.
+         */
         const val OWNERS_PER_MACHINE = 2
     }
 }
--- a/src/main/kotlin/flaxfield/net/Http.kt
+++ b/src/main/kotlin/flaxfield/net/Http.kt
@@ -83,7 +83,9 @@
     fun bind(host: String, port: Int): Channel {
         val idleNs = (idleS * NANOS_PER_SECOND).toLong()
         val look = (idleNs * LOOK_SHARE).toLong()
-        loop.next().scheduleWithFixedDelay({ connections.reap(System.nanoTime() - idleNs) }, look, look, TimeUnit.NANOSECONDS)
+        loop.next().scheduleWithFixedDelay({
+            connections.reap(System.nanoTime() - idleNs)
+        }, look, look, TimeUnit.NANOSECONDS)
         return ServerBootstrap()
             .group(loop)
             .channelFactory { NioServerSocketChannel() }
@@ -125,7 +127,11 @@
             val path = if (at < 0) uri else uri.substring(0, at)
             val query = if (at < 0) "" else uri.substring(at + 1)
             val channel = ctx.channel()
-            onRequest(Request(msg.method().name(), path, query, ByteBufUtil.getBytes(msg.content()), { channel.isActive }, reply))
+            onRequest(
+                Request(msg.method().name(), path, query, ByteBufUtil.getBytes(msg.content()), {
+                    channel.isActive
+                }, reply),
+            )
         }
 
         @Deprecated("Netty's name for it")
--- a/src/main/kotlin/flaxfield/net/HttpClient.kt
+++ b/src/main/kotlin/flaxfield/net/HttpClient.kt
@@ -47,7 +47,13 @@
     /** Whether a connection stays open after an answer. */
     private val keep: Boolean = true,
 ) : Calls {
-    private class Call(val method: String, val path: String, val body: ByteArray?, val timeoutMs: Long, val done: (Answer?) -> Unit) {
+    private class Call(
+        val method: String,
+        val path: String,
+        val body: ByteArray?,
+        val timeoutMs: Long,
+        val done: (Answer?) -> Unit,
+    ) {
         var over = false
         var timer: ScheduledFuture<*>? = null
         var line: Line? = null
@@ -89,7 +95,11 @@
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, call.timeoutMs.toInt().coerceAtMost(CONNECT_MS))
             .handler(object : ChannelInitializer<SocketChannel>() {
                 override fun initChannel(ch: SocketChannel) {
-                    ch.pipeline().addLast(HttpClientCodec(Headers.decoder(), false, false), HttpObjectAggregator(maxAnswer), Handler(line))
+                    ch.pipeline().addLast(
+                        HttpClientCodec(Headers.decoder(), false, false),
+                        HttpObjectAggregator(maxAnswer),
+                        Handler(line),
+                    )
                 }
             })
             .connect(address.host, address.port)
--- a/src/main/kotlin/flaxfield/net/Outbox.kt
+++ b/src/main/kotlin/flaxfield/net/Outbox.kt
@@ -19,8 +19,9 @@
     }
 
     /**
-     * Hands over what has waited for long, in the middle of a batch or of its decisions: behind two seconds of planning, a
-     * renewal of the node's own lease was sent too late, and so were the answers that renew workers' leases.
+     * Hands over what has waited for long, in the middle of a batch or of its decisions: behind two seconds of
+     * planning, a renewal of the node's own lease was sent too late, and so were the answers that renew workers'
+     * leases.
      */
     fun flushLate() {
         if (pending.isNotEmpty() && System.nanoTime() - oldestNs > LATE_NS) flush()
--- a/src/main/kotlin/flaxfield/node/Controller.kt
+++ b/src/main/kotlin/flaxfield/node/Controller.kt
@@ -110,14 +110,17 @@
 
     fun start() = follower.start()
 
-    /** Decides nothing any more and ends the process's lease, so that others take over at once; [done] when that is told. */
+    /**
+     * Decides nothing any more and ends the process's lease, so that others take over at once; [done] when that is
+     * told.
+     */
     fun leave(done: () -> Unit) = members.leave(done)
 
     fun refused() = metrics.refused()
 
     /**
-     * Whether workers' reports are of use yet; safe from any thread. Before the first view no lease may be renewed and no
-     * owner is known: after a restart hundreds of reports a second, read and answered in vain, put that view off.
+     * Whether workers' reports are of use yet; safe from any thread. Before the first view no lease may be renewed and
+     * no owner is known: after a restart hundreds of reports a second, read and answered in vain, put that view off.
      */
     fun takesReports(): Boolean = follower.synced
 
@@ -140,8 +143,8 @@
     }
 
     /**
-     * What is due by now: called after each batch of commands and at least every [TICK_MS]. While [reportsWaiting] are many,
-     * leases come before decisions.
+     * What is due by now: called after each batch of commands and at least every [TICK_MS]. While [reportsWaiting] are
+     * many, leases come before decisions.
      */
     fun turn(reportsWaiting: Int = 0) {
         noteStandstill()
@@ -159,8 +162,8 @@
     }
 
     /**
-     * The owner wakes every [TICK_MS]: a much longer gap is our own standstill. What was not heard meanwhile says nothing
-     * of workers: their silence is counted without it.
+     * The owner wakes every [TICK_MS]: a much longer gap is our own standstill. What was not heard meanwhile says
+     * nothing of workers: their silence is counted without it.
      */
     private fun noteStandstill() {
         val now = context.nowNs
@@ -228,7 +231,13 @@
         if (context.nowNs >= nextLoadNs) {
             nextLoadNs = context.nowNs + (LOAD_LINE_S * NANOS_PER_SECOND).toLong()
             val w = context.view
-            log.info("load jobs={} machines={} own={} {}", w.jobs.size, w.machines.size, context.mine().size, context.counts.line())
+            log.info(
+                "load jobs={} machines={} own={} {}",
+                w.jobs.size,
+                w.machines.size,
+                context.mine().size,
+                context.counts.line(),
+            )
         }
     }
 
@@ -267,7 +276,11 @@
         safely(block)
         val ns = System.nanoTime() - startNs
         context.counts.spent(name, ns)
-        if (ns > slowDutyNs) log.info("duty={} took {} ms: the process lacks processor time", name, ns / NANOS_PER_MILLI)
+        if (ns >
+            slowDutyNs
+        ) {
+            log.info("duty={} took {} ms: the process lacks processor time", name, ns / NANOS_PER_MILLI)
+        }
         outside.flushLate()
     }
 
@@ -294,16 +307,23 @@
         private const val DIRECT_TIMEOUT_MS = 2_000L
         private const val AWAY_SHARE = 0.25
 
-        /** A gap between turns of this share of a worker's lease is a standstill; a busy process's turns are far shorter. */
+        /**
+         * A gap between turns of this share of a worker's lease is a standstill; a busy process's turns are far
+         * shorter.
+         */
         private const val STANDSTILL_SHARE = 0.1
 
-        /** Decisions wait for reports this long at most, in report intervals: a worker waits no longer for its orders. */
+        /**
+         * Decisions wait for reports this long at most, in report intervals: a worker waits no longer for its orders.
+         */
         private const val DEFER_REPORTS = 0.5
 
         /** Planning of a process that has just started waits this share of a worker's lease. */
         private const val LEASES_FIRST_SHARE = 0.15
 
-        /** A duty that takes this many report intervals delays answers that workers wait for, and is named in the log. */
+        /**
+         * A duty that takes this many report intervals delays answers that workers wait for, and is named in the log.
+         */
         private const val SLOW_DUTY_REPORTS = 0.2
 
         /** How often a line in the log tells what the process has done so far. */
--- a/src/main/kotlin/flaxfield/node/Counts.kt
+++ b/src/main/kotlin/flaxfield/node/Counts.kt
@@ -35,7 +35,9 @@
 
     /** All figures on one line: milliseconds by duty, changes by cause. */
     fun line(): String = spentNs.entries.joinToString(" ") { "${it.key}=${it.value / NANOS_PER_MILLI}" } +
-        Cause.entries.filter { changes[it.ordinal] > 0 }.joinToString("") { " ${it.name.lowercase()}:${changes[it.ordinal]}" } +
+        Cause.entries.filter {
+            changes[it.ordinal] > 0
+        }.joinToString("") { " ${it.name.lowercase()}:${changes[it.ordinal]}" } +
         " conflict:$conflicts refused:$refusals unknown:$unknown"
 
     /** One line a figure, as `GET /metrics` shows them. */
--- a/src/main/kotlin/flaxfield/node/Deferral.kt
+++ b/src/main/kotlin/flaxfield/node/Deferral.kt
@@ -1,8 +1,8 @@
 package flaxfield.node
 
 /**
- * Puts a duty off while more urgent work waits, for at most [mostNs]. After a restart hundreds of reports waited while the
- * new leader planned for two seconds, and the leases that they would have renewed ran out.
+ * Puts a duty off while more urgent work waits, for at most [mostNs]. After a restart hundreds of reports waited while
+ * the new leader planned for two seconds, and the leases that they would have renewed ran out.
  */
 class Deferral(private val mostNs: Long) {
     private var dueSinceNs: Long? = null
--- a/src/main/kotlin/flaxfield/node/Follower.kt
+++ b/src/main/kotlin/flaxfield/node/Follower.kt
@@ -84,8 +84,8 @@
     }
 
     /**
-     * A watch answers when something changes: in quiet times the view is up to date and we do not know it. Workers' leases
-     * depend on that knowledge, so it is asked for at the price of one request.
+     * A watch answers when something changes: in quiet times the view is up to date and we do not know it. Workers'
+     * leases depend on that knowledge, so it is asked for at the price of one request.
      */
     private fun ask() {
         val now = context.nowNs
@@ -110,7 +110,9 @@
         open = true
         val sentNs = context.nowNs
         nextNs = sentNs + gapNs
-        context.store.follow(StoreKeys.LIVE, context.view.revision, BLOCK_MS) { w -> context.post { watched(w, sentNs) } }
+        context.store.follow(StoreKeys.LIVE, context.view.revision, BLOCK_MS) { w ->
+            context.post { watched(w, sentNs) }
+        }
     }
 
     private fun watched(w: Watched, sentNs: Long) {
@@ -126,7 +128,11 @@
                 context.stateOk()
                 for (i in w.items) {
                     context.view.apply(i)
-                    if (i.value == null && i.key.startsWith(StoreKeys.HOST)) hosts.forget(i.key.removePrefix(StoreKeys.HOST))
+                    if (i.value == null &&
+                        i.key.startsWith(StoreKeys.HOST)
+                    ) {
+                        hosts.forget(i.key.removePrefix(StoreKeys.HOST))
+                    }
                 }
                 context.knowledge.read(sentNs, w.revision)
                 moved(w.revision)
@@ -162,7 +168,10 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.store")
 
-        /** Half of what the service gives at once: each page more costs a request and a turn before leases are renewed again. */
+        /**
+         * Half of what the service gives at once: each page more costs a request and a turn before leases are renewed
+         * again.
+         */
         const val PAGE = 500
         const val BLOCK_MS = 10_000L
         const val RETRY_MS = 250L
--- a/src/main/kotlin/flaxfield/node/Metrics.kt
+++ b/src/main/kotlin/flaxfield/node/Metrics.kt
@@ -68,7 +68,9 @@
     }
 
     private fun nameTimes(named: MeterRegistry, path: String, spent: RequestTimes) {
-        FunctionTimer.builder("flaxfield.requests", spent, { it.count }, { it.totalNs.toDouble() }, TimeUnit.NANOSECONDS)
+        FunctionTimer.builder("flaxfield.requests", spent, {
+            it.count
+        }, { it.totalNs.toDouble() }, TimeUnit.NANOSECONDS)
             .tag("path", path)
             .register(named)
         TimeGauge.builder("flaxfield.requests.max", spent, TimeUnit.NANOSECONDS) { it.maxNs.toDouble() }
@@ -78,7 +80,8 @@
 
     private fun line(id: Meter.Id, statistic: Statistic, tags: String, value: Double): String {
         // The statistic of a gauge says nothing that its name does not.
-        val name = id.name.replace('.', '_') + if (statistic == Statistic.VALUE) "" else "_" + statistic.tagValueRepresentation
+        val name =
+            id.name.replace('.', '_') + if (statistic == Statistic.VALUE) "" else "_" + statistic.tagValueRepresentation
         return if (tags.isEmpty()) "$name $value\n" else "$name{$tags} $value\n"
     }
 }
--- a/src/main/kotlin/flaxfield/node/Node.kt
+++ b/src/main/kotlin/flaxfield/node/Node.kt
@@ -70,7 +70,13 @@
 
     /** Binds both addresses, then runs as the owner thread until the process ends. */
     fun serve(): Nothing {
-        HttpServer(loop, out, shares, settings.workers.leaseS, ::offer).bind(settings.serveOn.host, settings.serveOn.port)
+        HttpServer(
+            loop,
+            out,
+            shares,
+            settings.workers.leaseS,
+            ::offer,
+        ).bind(settings.serveOn.host, settings.serveOn.port)
         // Peers' messages are hints: when the owner is behind they are dropped.
         PeerServer(loop) { m, answer -> intake.offer(Command.Peer(m, answer)) }
             .bind(settings.internalAddr.host, settings.internalAddr.port)
--- a/src/main/kotlin/flaxfield/node/NodeContext.kt
+++ b/src/main/kotlin/flaxfield/node/NodeContext.kt
@@ -86,16 +86,19 @@
     fun waitedLong(job: Job): Boolean = waits.long(job, nowMs)
 
     /**
-     * How many more tasks of [job] its team's limit allows beside [use]. Arrays leave a part of it to the team's gangs; one
-     * that has waited long leaves it only to gangs that wait and came before it, and never more than all but one task: with
-     * that it waits no more, so that gangs lose one place for each of them at most.
+     * How many more tasks of [job] its team's limit allows beside [use]. Arrays leave a part of it to the team's gangs;
+     * one that has waited long leaves it only to gangs that wait and came before it, and never more than all but one
+     * task: with that it waits no more, so that gangs lose one place for each of them at most.
      */
     fun allows(job: Job, use: TeamUse): Int {
         val team = job.spec.owner
         val need = job.spec.need
         if (job.isGang) return use.allows(team, need)
         if (!waitedLong(job)) return use.allows(team, need, reserved.ofLimit(team))
-        return maxOf(use.allows(team, need, reserved.ofWaiting(team, job.submittedMs)), minOf(1, use.allows(team, need)))
+        return maxOf(
+            use.allows(team, need, reserved.ofWaiting(team, job.submittedMs)),
+            minOf(1, use.allows(team, need)),
+        )
     }
 
     /** When the state service last answered us with anything but an error. */
--- a/src/main/kotlin/flaxfield/node/Subsystem.kt
+++ b/src/main/kotlin/flaxfield/node/Subsystem.kt
@@ -4,8 +4,8 @@
 import flaxfield.store.Change
 
 /**
- * What the operators' fleet file switches on, as the scheduler sees it. Its one implementation is loaded only with such a
- * file; the owner thread calls all of it.
+ * What the operators' fleet file switches on, as the scheduler sees it. Its one implementation is loaded only with such
+ * a file; the owner thread calls all of it.
  */
 interface Subsystem {
     /** Called at every tick. */
--- a/src/main/kotlin/flaxfield/operator/Answers.kt
+++ b/src/main/kotlin/flaxfield/operator/Answers.kt
@@ -31,7 +31,9 @@
 
     private fun drain(record: DrainRecord): Drain {
         val remaining = snapshot.machines.values.count { it.cordon == record.id }
-        val disrupted = snapshot.ledgers.values.sumOf { ledger -> ledger.entries.values.count { it.drain == record.id } }
+        val disrupted = snapshot.ledgers.values.sumOf { ledger ->
+            ledger.entries.values.count { it.drain == record.id }
+        }
         val waits = plan.waits[record.id].orEmpty()
         return Drain.newBuilder()
             .setId(record.id)
@@ -90,7 +92,8 @@
             .build()
     }
 
-    private fun capacity(c: flaxfield.drain.Capacity) = Capacity.newBuilder().setCpus(c.cpus).setAccelerators(c.accelerators).build()
+    private fun capacity(c: flaxfield.drain.Capacity) =
+        Capacity.newBuilder().setCpus(c.cpus).setAccelerators(c.accelerators).build()
 
     /** All machines, by name. */
     fun machines(): List<Machine> {
@@ -117,8 +120,9 @@
         }
     }
 
-    private fun wait(machine: String, reason: WaitReason): Wait =
-        Wait.newBuilder().setMachine(machine).setReason(WaitText.word(reason)).setDetail(WaitText.sentence(reason)).build()
+    private fun wait(machine: String, reason: WaitReason): Wait = Wait.newBuilder().setMachine(
+        machine,
+    ).setReason(WaitText.word(reason)).setDetail(WaitText.sentence(reason)).build()
 }
 
 /** Words and sentences for the reasons of waits. */
@@ -143,7 +147,9 @@
         is WaitReason.NoRepeat ->
             "${reason.job} of class ${reason.jobClass} ends by itself: the class is repeated ${repeated(reason.policy)}"
         is WaitReason.LargerThanBudget ->
-            "${reason.job} takes ${amount(reason.cost)}, all that team ${reason.team} may lack is ${amount(reason.allowed)}"
+            "${reason.job} takes ${amount(
+                reason.cost,
+            )}, all that team ${reason.team} may lack is ${amount(reason.allowed)}"
         is WaitReason.BudgetSpent ->
             "team ${reason.team} lacks ${amount(
                 reason.unavailable,
@@ -162,7 +168,14 @@
         RepeatPolicy.ANY -> "at any time"
     }
 
-    private fun amount(c: flaxfield.drain.Capacity) = "${number(c.cpus)} CPUs and ${number(c.accelerators)} accelerators"
+    private fun amount(c: flaxfield.drain.Capacity) =
+        "${number(c.cpus)} CPUs and ${number(c.accelerators)} accelerators"
 
-    private fun number(value: Double): String = if (value == Math.rint(value)) value.toLong().toString() else "%.2f".format(value)
+    private fun number(value: Double): String = if (value ==
+        Math.rint(value)
+    ) {
+        value.toLong().toString()
+    } else {
+        "%.2f".format(value)
+    }
 }
--- a/src/main/kotlin/flaxfield/operator/FleetFile.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetFile.kt
@@ -62,7 +62,9 @@
 
     private fun unknownNames(root: JsonNode, settings: Settings): List<String> {
         val classes = settings.objectives.mapTo(HashSet()) { it.jobClass }
-        val teams = names(root, "budgets").filter { it !in settings.teams }.map { "$.budgets.$it: no such team in the settings" }
+        val teams = names(root, "budgets").filter {
+            it !in settings.teams
+        }.map { "$.budgets.$it: no such team in the settings" }
         return teams + listOf("classes", "recovery_tiers").flatMap { field ->
             names(root, field).filter { it !in classes }.map { "$.$field.$it: no such class in the settings" }
         }
@@ -80,7 +82,9 @@
             defaultRepeat = repeat(root.path("default_repeat").asText(RepeatPolicy.CHECKPOINTED.name)),
             surgeMachines = root.path("surge_machines").asInt(DEFAULT_SURGE),
             maxCordoned = root.path("max_cordoned").asInt(UNLIMITED),
-            recoveryTiers = names(root, "recovery_tiers").associateWith { root.path("recovery_tiers").path(it).asInt() },
+            recoveryTiers = names(root, "recovery_tiers").associateWith {
+                root.path("recovery_tiers").path(it).asInt()
+            },
         ),
     )
 
--- a/src/main/kotlin/flaxfield/operator/FleetStart.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetStart.kt
@@ -11,9 +11,14 @@
 import java.util.concurrent.atomic.AtomicReference
 import kotlin.system.exitProcess
 
-/** Starts a controller with a fleet file: the operators' service, reloads and the clean stop. Loaded only with such a file. */
+/**
+ * Starts a controller with a fleet file: the operators' service, reloads and the clean stop. Loaded only with such a
+ * file.
+ */
 class FleetStart(private val settings: Settings, private val path: String) {
-    /** Runs the controller until the process ends. A faulty file ends it at once: every fault is named, each on a line. */
+    /**
+     * Runs the controller until the process ends. A faulty file ends it at once: every fault is named, each on a line.
+     */
     fun serve(operator: OperatorSettings, incarnation: String): Nothing {
         val file = try {
             FleetFiles.load(path, settings)
@@ -36,7 +41,9 @@
         try {
             server.start()
         } catch (e: IOException) {
-            throw MalformedException("fleet file $path: can't listen on ${file.listen}: ${e.cause?.message ?: e.message}")
+            throw MalformedException(
+                "fleet file $path: can't listen on ${file.listen}: ${e.cause?.message ?: e.message}",
+            )
         }
         log.info("node={} serves operators on {}", settings.nodeName, file.listen)
         Signal.handle(Signal("HUP")) { reload(file, made.get()) }
--- a/src/main/kotlin/flaxfield/operator/JobExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/JobExplainer.kt
@@ -15,8 +15,8 @@
 import flaxfield.zones.RepeatGuard
 
 /**
- * Pure: why a job waits, by the scheduler's own conditions in the order in which it asks them: the team's limit, the machines
- * that are allowed, and one placement round over the room that the records leave.
+ * Pure: why a job waits, by the scheduler's own conditions in the order in which it asks them: the team's limit, the
+ * machines that are allowed, and one placement round over the room that the records leave.
  */
 class JobExplainer(private val snapshot: FleetSnapshot, private val teams: Map<String, Team>) {
     private class Reason(val word: String, val sentence: String)
@@ -79,7 +79,10 @@
         val needed = if (job.isGang) job.spec.taskCount else 1
         val allowed = TeamUse(snapshot.jobs.values, teams).allows(job.spec.owner, job.spec.need)
         if (allowed >= needed) return null
-        return Reason("team_limit", "team ${job.spec.owner} may run $allowed more tasks of this size, $needed are needed")
+        return Reason(
+            "team_limit",
+            "team ${job.spec.owner} may run $allowed more tasks of this size, $needed are needed",
+        )
     }
 
     private fun room(job: Job): Reason {
@@ -90,7 +93,10 @@
         val open = allowed.filter { it.takesWork && snapshot.rooms[it.name]?.state == HostState.OK }
         if (open.isEmpty()) {
             val drained = allowed.count { it.cordon != null }
-            return Reason("no_open_machine", "of ${allowed.size} allowed machines none takes work now, $drained are drained")
+            return Reason(
+                "no_open_machine",
+                "of ${allowed.size} allowed machines none takes work now, $drained are drained",
+            )
         }
         val used = used()
         val seats = open.mapNotNull { m ->
@@ -105,7 +111,10 @@
                     "no_room_for_gang",
                     "${open.size} machines take work, the round placed ${round.assumed} of ${job.spec.taskCount} tasks",
                 )
-            !job.isGang && free == 0 -> Reason("no_room", "none of ${open.size} machines that take work has room for a task")
+            !job.isGang && free == 0 -> Reason(
+                "no_room",
+                "none of ${open.size} machines that take work has room for a task",
+            )
             else -> Reason("turn", "there is room for $free tasks: others go first, or the placement is on its way")
         }
     }
--- a/src/main/kotlin/flaxfield/operator/OperatorService.kt
+++ b/src/main/kotlin/flaxfield/operator/OperatorService.kt
@@ -33,7 +33,9 @@
 import java.util.concurrent.Semaphore
 import java.util.concurrent.atomic.AtomicBoolean
 
-/** Serves operators. Reads are answered from the latest snapshot on the caller's thread; orders go to the owner thread. */
+/**
+ * Serves operators. Reads are answered from the latest snapshot on the caller's thread; orders go to the owner thread.
+ */
 class OperatorService(
     private val control: FleetControl,
     private val settings: Settings,
@@ -73,9 +75,10 @@
         reply.setBudget(answers(s).budgetOf(request.name)).build()
     }
 
-    override fun listMachines(request: ReadRequest, out: StreamObserver<MachineList>) = read(request.atLeast, out) { s ->
-        MachineList.newBuilder().setRevision(s.revision.toLong()).addAllMachines(answers(s).machines()).build()
-    }
+    override fun listMachines(request: ReadRequest, out: StreamObserver<MachineList>) =
+        read(request.atLeast, out) { s ->
+            MachineList.newBuilder().setRevision(s.revision.toLong()).addAllMachines(answers(s).machines()).build()
+        }
 
     override fun explainJob(request: ShowRequest, out: StreamObserver<JobExplanation>) {
         val snapshot = control.publisher.current
@@ -100,7 +103,9 @@
             is FinishedLook.Unclear -> out.onError(unavailable("the state service does not answer"))
             is FinishedLook.Found -> {
                 val phase = if (found.job.aborted) "cancelled" else "done"
-                val explanation = JobExplanation.newBuilder().setRevision(control.publisher.current.revision.toLong()).setJob(id)
+                val explanation = JobExplanation.newBuilder().setRevision(
+                    control.publisher.current.revision.toLong(),
+                ).setJob(id)
                     .setState("over").setDone(found.job.done).setReason(phase).setDetail("the job is over: $phase")
                 out.onNext(explanation.build())
                 out.onCompleted()
@@ -125,29 +130,42 @@
             Change.PAUSE -> DrainOrder.Pause(request.id)
             Change.RESUME -> DrainOrder.Resume(request.id)
             Change.CANCEL -> DrainOrder.Cancel(request.id)
-            else -> return out.onError(Status.INVALID_ARGUMENT.withDescription("no such change of a drain").asRuntimeException())
+            else -> return out.onError(
+                Status.INVALID_ARGUMENT.withDescription("no such change of a drain").asRuntimeException(),
+            )
         }
         order(order, out)
     }
 
     override fun listZones(request: ReadRequest, out: StreamObserver<ZoneList>) = read(request.atLeast, out) { s ->
         val answers = ZoneAnswers(s, settings.teams)
-        ZoneList.newBuilder().setRevision(s.revision.toLong()).addAllZones(answers.zones()).addAllShares(answers.shares()).build()
+        ZoneList.newBuilder().setRevision(
+            s.revision.toLong(),
+        ).addAllZones(answers.zones()).addAllShares(answers.shares()).build()
     }
 
-    override fun showZone(request: ShowRequest, out: StreamObserver<ZoneReply>) = read(request.atLeast, out) { zoneReply(it, request.name) }
+    override fun showZone(request: ShowRequest, out: StreamObserver<ZoneReply>) = read(request.atLeast, out) {
+        zoneReply(it, request.name)
+    }
 
     private fun zoneReply(s: FleetSnapshot, name: String): ZoneReply {
         val answers = ZoneAnswers(s, settings.teams)
         val zone = answers.zone(name) ?: throw notFound("no zone $name")
-        return ZoneReply.newBuilder().setRevision(s.revision.toLong()).setZone(zone).addAllShares(answers.shares()).build()
+        return ZoneReply.newBuilder().setRevision(
+            s.revision.toLong(),
+        ).setZone(zone).addAllShares(answers.shares()).build()
     }
 
     override fun abandonZone(request: AbandonZoneRequest, out: StreamObserver<ZoneReply>) =
-        order<AbandonOrder, ZoneReply>(out, { done -> control.abandon(request.zone, request.jobClass, done) }) { recorded ->
+        order<AbandonOrder, ZoneReply>(out, { done ->
+            control.abandon(request.zone, request.jobClass, done)
+        }) { recorded ->
             val s = control.publisher.current
             val order = recorded.record
-            zoneReply(s.copy(revision = maxOf(s.revision, recorded.revision), abandons = s.abandons.put(order.name, order)), request.zone)
+            zoneReply(
+                s.copy(revision = maxOf(s.revision, recorded.revision), abandons = s.abandons.put(order.name, order)),
+                request.zone,
+            )
         }
 
     private fun answers(s: FleetSnapshot) = Answers(s, DrainReconciler.mostEntries(settings.stateLimits))
@@ -155,10 +173,15 @@
     private fun needFiles(s: FleetSnapshot) {
         val without = s.membersWithoutConfig()
         if (without.isEmpty() && s.assignment != null) return
-        throw Status.FAILED_PRECONDITION.withDescription("controllers without a fleet file: ${without.joinToString()}").asRuntimeException()
+        throw Status.FAILED_PRECONDITION.withDescription(
+            "controllers without a fleet file: ${without.joinToString()}",
+        ).asRuntimeException()
     }
 
-    /** Answers from a snapshot of revision [atLeast] or later; refuses at once where this node has none, so that another is asked. */
+    /**
+     * Answers from a snapshot of revision [atLeast] or later; refuses at once where this node has none, so that another
+     * is asked.
+     */
     private fun <T> read(atLeast: Long, out: StreamObserver<T>, answer: (FleetSnapshot) -> T) = guarded(out) {
         val snapshot = control.publisher.current
         when {
@@ -187,12 +210,18 @@
     private fun order(order: DrainOrder, out: StreamObserver<DrainReply>) =
         order<DrainRecord, DrainReply>(out, { done -> control.order(order, done) }) { recorded ->
             val s = control.publisher.current
-            val drain = answers(s.copy(drains = s.drains.put(recorded.record.id, recorded.record))).drain(recorded.record.id)
+            val drain = answers(
+                s.copy(drains = s.drains.put(recorded.record.id, recorded.record)),
+            ).drain(recorded.record.id)
             DrainReply.newBuilder().setRevision(recorded.revision.toLong()).setDrain(drain).build()
         }
 
     /** Hands an order to the owner thread by [take] and answers once, with what [reply] makes of its record. */
-    private fun <R, T> order(out: StreamObserver<T>, take: ((OrderResult<R>) -> Unit) -> Unit, reply: (OrderResult.Recorded<out R>) -> T) {
+    private fun <R, T> order(
+        out: StreamObserver<T>,
+        take: ((OrderResult<R>) -> Unit) -> Unit,
+        reply: (OrderResult.Recorded<out R>) -> T,
+    ) {
         if (stopping) return out.onError(unavailable("this node is stopping"))
         if (!places.tryAcquire()) return out.onError(busy())
         val once = AtomicBoolean()
@@ -206,7 +235,11 @@
         }
     }
 
-    private fun <R, T> answer(result: OrderResult<R>, out: StreamObserver<T>, reply: (OrderResult.Recorded<out R>) -> T) {
+    private fun <R, T> answer(
+        result: OrderResult<R>,
+        out: StreamObserver<T>,
+        reply: (OrderResult.Recorded<out R>) -> T,
+    ) {
         when (result) {
             is OrderResult.Recorded -> try {
                 out.onNext(reply(result))
@@ -214,7 +247,9 @@
             } catch (e: StatusRuntimeException) {
                 out.onError(e)
             }
-            is OrderResult.Refused -> out.onError(OrderStatus.of(result.fault).withDescription(result.message).asRuntimeException())
+            is OrderResult.Refused -> out.onError(
+                OrderStatus.of(result.fault).withDescription(result.message).asRuntimeException(),
+            )
         }
     }
 
--- a/src/main/kotlin/flaxfield/operator/ZoneAnswers.kt
+++ b/src/main/kotlin/flaxfield/operator/ZoneAnswers.kt
@@ -54,8 +54,11 @@
 
     /** How the teams stand against their fair parts. */
     fun shares(): List<FairShare> = FairLoss(snapshot, teams, rules).shares().map { s ->
-        FairShare.newBuilder().setTeam(s.team).setTarget(capacity(s.target)).setHeld(capacity(s.held)).setShortfall(s.shortfall).build()
+        FairShare.newBuilder().setTeam(
+            s.team,
+        ).setTarget(capacity(s.target)).setHeld(capacity(s.held)).setShortfall(s.shortfall).build()
     }
 
-    private fun capacity(c: flaxfield.drain.Capacity) = Capacity.newBuilder().setCpus(c.cpus).setAccelerators(c.accelerators).build()
+    private fun capacity(c: flaxfield.drain.Capacity) =
+        Capacity.newBuilder().setCpus(c.cpus).setAccelerators(c.accelerators).build()
 }
--- a/src/main/kotlin/flaxfield/peers/PeerGateway.kt
+++ b/src/main/kotlin/flaxfield/peers/PeerGateway.kt
@@ -37,11 +37,18 @@
     private val heardNs = HashMap<String, Long>()
 
     /** Whether some peer has been heard of late. */
-    fun heard(): Boolean = heardNs.values.any { context.nowNs - it < context.settings.workers.reportS * FRESH_REPORTS * NANOS_PER_SECOND }
+    fun heard(): Boolean = heardNs.values.any {
+        context.nowNs - it <
+            context.settings.workers.reportS * FRESH_REPORTS * NANOS_PER_SECOND
+    }
 
     fun pulse(m: PeerMessage.Pulse) {
         heardNs[m.from] = context.nowNs
-        if (m.stateAgeMs <= context.settings.workers.reportS * MILLIS_PER_SECOND) stateOkElsewhereNs[m.from] = context.nowNs
+        if (m.stateAgeMs <=
+            context.settings.workers.reportS * MILLIS_PER_SECOND
+        ) {
+            stateOkElsewhereNs[m.from] = context.nowNs
+        }
     }
 
     /** Whether some peer has the state service's ear now. */
--- a/src/main/kotlin/flaxfield/peers/PeerLink.kt
+++ b/src/main/kotlin/flaxfield/peers/PeerLink.kt
@@ -53,7 +53,9 @@
                 body.write(Wire.encode(mapOf("from" to m.from, "age" to m.stateAgeMs)))
             }
             is PeerMessage.Relay -> {
-                body.writeByte(RELAY).writeLong(m.id).writeInt(m.from.utf8Size().toInt()).writeUtf8(m.from).write(m.report)
+                body.writeByte(
+                    RELAY,
+                ).writeLong(m.id).writeInt(m.from.utf8Size().toInt()).writeUtf8(m.from).write(m.report)
             }
             is PeerMessage.Relayed -> body.writeByte(RELAYED).writeLong(m.id).writeInt(m.status).write(m.body)
         }
@@ -89,7 +91,10 @@
 }
 
 /** Listens on `internal_addr`; each message comes with a way to answer on the same connection. */
-class PeerServer(private val loop: EventLoopGroup, private val onMessage: (PeerMessage, (PeerMessage) -> Unit) -> Unit) {
+class PeerServer(
+    private val loop: EventLoopGroup,
+    private val onMessage: (PeerMessage, (PeerMessage) -> Unit) -> Unit,
+) {
     fun bind(host: String, port: Int): Channel = ServerBootstrap()
         .group(loop)
         .channelFactory { NioServerSocketChannel() }
@@ -157,7 +162,8 @@
     }
 }
 
-private class FrameReader(private val onMessage: (PeerMessage, (PeerMessage) -> Unit) -> Unit) : ChannelInboundHandlerAdapter() {
+private class FrameReader(private val onMessage: (PeerMessage, (PeerMessage) -> Unit) -> Unit) :
+    ChannelInboundHandlerAdapter() {
     private val input = Buffer()
 
     override fun channelRead(ctx: ChannelHandlerContext, msg: Any) {
--- a/src/main/kotlin/flaxfield/quota/Quota.kt
+++ b/src/main/kotlin/flaxfield/quota/Quota.kt
@@ -56,8 +56,8 @@
 /** Pure: how much of its guarantee an amount is, by the resource of which it is the larger part. */
 object DominantShare {
     /**
-     * The share that [cpus] and [gpus] are of the guarantee of [team]. A resource that is not guaranteed does not count; for a
-     * team without any guarantee one unit of each stands for it.
+     * The share that [cpus] and [gpus] are of the guarantee of [team]. A resource that is not guaranteed does not
+     * count; for a team without any guarantee one unit of each stands for it.
      */
     fun of(cpus: Double, gpus: Double, team: Team?): Double {
         if (team == null || team.cpus <= 0.0 && team.gpus <= 0.0) return maxOf(cpus, gpus)
@@ -76,7 +76,9 @@
             var sum = Room.NONE
             for (j in list.sortedWith(compareBy({ it.submittedMs }, { it.id }))) {
                 sum += j.spec.need * (j.spec.taskCount - j.doneCount)
-                if ((t.cpus <= 0.0 || sum.cpus <= t.cpus + EPSILON) && (t.gpus <= 0.0 || sum.gpus <= t.gpus + EPSILON)) {
+                if ((t.cpus <= 0.0 || sum.cpus <= t.cpus + EPSILON) &&
+                    (t.gpus <= 0.0 || sum.gpus <= t.gpus + EPSILON)
+                ) {
                     result += j.id
                 }
             }
@@ -94,8 +96,8 @@
     fun lateMs(nowMs: Long): Long = nowMs - (BEGIN_S * LATE_SHARE * MILLIS_PER_SECOND).toLong()
 
     /**
-     * Guarantee first, then priority, then classes of which something is expected ([aimed]), then the team that uses the least
-     * share, then age. Before all of these
+     * Guarantee first, then priority, then classes of which something is expected ([aimed]), then the team that uses
+     * the least share, then age. Before all of these
      * come jobs submitted before [lateMs] that have not begun: none of the orders may starve one for ever. After all of
      * them come jobs that seem to be mistakes.
      */
@@ -120,7 +122,14 @@
     }
 
     /** What a job's place depends on, worked out once and not at each comparison. */
-    private class Place(val job: Job, val last: Boolean, val late: Boolean, val within: Boolean, val aimless: Boolean, val share: Double)
+    private class Place(
+        val job: Job,
+        val last: Boolean,
+        val late: Boolean,
+        val within: Boolean,
+        val aimless: Boolean,
+        val share: Double,
+    )
 
     private val ORDER = Comparator<Place> { a, b ->
         when {
--- a/src/main/kotlin/flaxfield/settings/Properties.kt
+++ b/src/main/kotlin/flaxfield/settings/Properties.kt
@@ -54,10 +54,11 @@
             value.toDoubleOrNull()?.takeIf { it in least..most }
                 ?: throw MalformedException("property '$key': '$value' is not a number from $least to $most")
 
-        private fun flag(key: String, value: String): Boolean =
-            value.toBooleanStrictOrNull() ?: throw MalformedException("property '$key': '$value' is neither true nor false")
+        private fun flag(key: String, value: String): Boolean = value.toBooleanStrictOrNull()
+            ?: throw MalformedException("property '$key': '$value' is neither true nor false")
 
-        private fun whole(key: String, value: String, least: Int, most: Int): Int = value.toIntOrNull()?.takeIf { it in least..most }
-            ?: throw MalformedException("property '$key': '$value' is not a whole number from $least to $most")
+        private fun whole(key: String, value: String, least: Int, most: Int): Int =
+            value.toIntOrNull()?.takeIf { it in least..most }
+                ?: throw MalformedException("property '$key': '$value' is not a whole number from $least to $most")
     }
 }
--- a/src/main/kotlin/flaxfield/settings/Settings.kt
+++ b/src/main/kotlin/flaxfield/settings/Settings.kt
@@ -34,7 +34,13 @@
 data class Objective(val kind: String, val jobClass: String, val withinS: Double, val share: Double)
 
 /** Figures of the workers' protocol. */
-data class WorkerTimes(val reportS: Double, val leaseS: Double, val gangWaitS: Double, val gangPeerS: Double, val cancelS: Double)
+data class WorkerTimes(
+    val reportS: Double,
+    val leaseS: Double,
+    val gangWaitS: Double,
+    val gangPeerS: Double,
+    val cancelS: Double,
+)
 
 /** Limits of the state service. */
 data class StateLimits(val rps: Double, val writeRps: Double, val valueKb: Double, val txnOps: Int)
@@ -88,7 +94,9 @@
                 zone = o.text("zone").orEmpty(),
                 serveOn = Address.parse(o.needText("serve_on")),
                 internalAddr = Address.parse(o.needText("internal_addr")),
-                peers = o.objs("others").map { Peer(it.needText("node_name"), Address.parse(it.needText("peer_addr"))) },
+                peers = o.objs("others").map {
+                    Peer(it.needText("node_name"), Address.parse(it.needText("peer_addr")))
+                },
                 cloud = Address.parse(external.needText("cloud")),
                 state = Address.parse(external.needText("state")),
                 size = d.int("size") ?: (o.objs("others").size + 1),
@@ -137,7 +145,10 @@
             return n
         }
 
-        /** A part of the machine, if the file tells it: with less than [least] a process would only be killed, or never be ready. */
+        /**
+         * A part of the machine, if the file tells it: with less than [least] a process would only be killed, or never
+         * be ready.
+         */
         private fun atLeast(quota: Obj?, key: String, least: Double) {
             if (quota?.map?.get(key) == null) return
             if (!(quota.needNumber(key) >= least)) throw MalformedException("$key must be at least $least")
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -145,9 +145,15 @@
                 if (machines[name]?.claim != null) claimed += name else claimed -= name
             }
             key.startsWith(StoreKeys.ROOM) -> setRoom(key, value?.let(RoomCodec::decode))
-            key.startsWith(StoreKeys.MEMBER) -> set(members, key.removePrefix(StoreKeys.MEMBER), value) { MemberCodec.member(it) }
-            key.startsWith(StoreKeys.HIRE) -> set(rentals, key.removePrefix(StoreKeys.HIRE), value) { FleetCodec.hire(it, key, version) }
-            key.startsWith(StoreKeys.ZONE) -> set(zones, key.removePrefix(StoreKeys.ZONE), value) { ZoneCodec.decode(it, key, version) }
+            key.startsWith(StoreKeys.MEMBER) -> set(members, key.removePrefix(StoreKeys.MEMBER), value) {
+                MemberCodec.member(it)
+            }
+            key.startsWith(StoreKeys.HIRE) -> set(rentals, key.removePrefix(StoreKeys.HIRE), value) {
+                FleetCodec.hire(it, key, version)
+            }
+            key.startsWith(StoreKeys.ZONE) -> set(zones, key.removePrefix(StoreKeys.ZONE), value) {
+                ZoneCodec.decode(it, key, version)
+            }
             key == StoreKeys.ASSIGNMENT -> assignment = value?.let { MemberCodec.assignment(it, version) }
             key == StoreKeys.LEADER -> leader = value?.let { MemberCodec.member(it) }
             key == StoreKeys.TYPES -> {
@@ -167,7 +173,13 @@
         val new = value?.let { JobCodec.decodeHead(it, version) }
         if (new == null) {
             if (old != null) {
-                for ((n, c) in old.chunks) if (n != 0 && versions.containsKey(StoreKeys.chunk(id, n))) strayChunks["$id/$n"] = c
+                for ((n, c) in old.chunks) {
+                    if (n != 0 &&
+                        versions.containsKey(StoreKeys.chunk(id, n))
+                    ) {
+                        strayChunks["$id/$n"] = c
+                    }
+                }
             }
             replace(id, old, null, old?.chunks?.keys.orEmpty())
             return
@@ -193,7 +205,20 @@
             if (chunk == null) strayChunks.remove(name) else strayChunks[name] = chunk
             return
         }
-        replace(id, job, job.copy(chunks = if (chunk == null) job.chunks - number else job.chunks + (number to chunk)), setOf(number))
+        replace(
+            id,
+            job,
+            job.copy(
+                chunks = if (chunk ==
+                    null
+                ) {
+                    job.chunks - number
+                } else {
+                    job.chunks + (number to chunk)
+                },
+            ),
+            setOf(number),
+        )
     }
 
     private fun setRoom(key: String, new: RoomSummary?) {
@@ -274,7 +299,10 @@
     /** The same from whichever owner wrote of it last. */
     fun lastRoom(host: String): HostRoom? = hostRooms[host]?.room
 
-    /** What each controller tells under the current term of the zones that it hears; one that tells nothing of zones is missing. */
+    /**
+     * What each controller tells under the current term of the zones that it hears; one that tells nothing of zones is
+     * missing.
+     */
     fun hearings(): Map<String, Map<String, ZoneHearing>> {
         val term = assignment?.term ?: return emptyMap()
         val result = HashMap<String, Map<String, ZoneHearing>>()
@@ -288,7 +316,11 @@
     /** The claim that holds a machine now. */
     fun claimOn(m: Machine): Claim? = m.claim?.takeIf { c ->
         val gang = jobs[c.job]
-        c.term == assignment?.term && gang != null && !gang.cancelled && gang.placedCount == 0 && gang.nextGangAttempt() == c.attempt
+        c.term == assignment?.term &&
+            gang != null &&
+            !gang.cancelled &&
+            gang.placedCount == 0 &&
+            gang.nextGangAttempt() == c.attempt
     }
 
     /** What the teams use now; the caller may add to it. */
--- a/src/main/kotlin/flaxfield/store/Sizes.kt
+++ b/src/main/kotlin/flaxfield/store/Sizes.kt
@@ -42,7 +42,8 @@
     }
 
     /** Quotes included; characters outside ASCII and those that are escaped are counted at their longest. */
-    private fun text(s: String): Int = 2 + s.sumOf { c -> (if (c.code in PLAIN && c != '"' && c != '\\') 1 else ESCAPED).toInt() }
+    private fun text(s: String): Int =
+        2 + s.sumOf { c -> (if (c.code in PLAIN && c != '"' && c != '\\') 1 else ESCAPED).toInt() }
 
     private val PLAIN = 0x20..0x7e
     private const val ESCAPED = 6
--- a/src/main/kotlin/flaxfield/store/StoreClient.kt
+++ b/src/main/kotlin/flaxfield/store/StoreClient.kt
@@ -81,15 +81,16 @@
     }
 
     /** Which of [keys] exist, by a transaction that only compares; null without an answer. */
-    fun present(keys: List<String>, done: (Set<String>?) -> Unit) = txn(Txn(keys.associateWith { 0uL }, emptyList())) { o ->
-        done(
-            when (o) {
-                is Outcome.Committed -> emptySet()
-                is Outcome.Conflict -> o.failed.toSet()
-                else -> null
-            },
-        )
-    }
+    fun present(keys: List<String>, done: (Set<String>?) -> Unit) =
+        txn(Txn(keys.associateWith { 0uL }, emptyList())) { o ->
+            done(
+                when (o) {
+                    is Outcome.Committed -> emptySet()
+                    is Outcome.Conflict -> o.failed.toSet()
+                    else -> null
+                },
+            )
+        }
 
     fun list(under: String, from: String?, limit: Int, done: (Page?) -> Unit) {
         val start = if (from == null) "" else "&from=" + enc(from)
@@ -166,7 +167,9 @@
         when (a?.status) {
             null -> Outcome.Unknown
             OK -> Outcome.Committed(Wire.decode(a.body).needCount("ledger"))
-            CONFLICT -> Wire.decode(a.body).let { Outcome.Conflict(it.texts("failed").orEmpty(), it.needCount("ledger")) }
+            CONFLICT -> Wire.decode(a.body).let {
+                Outcome.Conflict(it.texts("failed").orEmpty(), it.needCount("ledger"))
+            }
             else -> Outcome.Refused(a.status)
         }
     }
--- a/src/main/kotlin/flaxfield/store/ViewFreshness.kt
+++ b/src/main/kotlin/flaxfield/store/ViewFreshness.kt
@@ -1,9 +1,10 @@
 package flaxfield.store
 
 /**
- * How far back this process may be behind: [sinceNs] is when a read of the revision that the view has reached was *sent*.
- * All that was committed before it, and so all that users were told before it, is in the view. An answer to anything
- * else shows contact, not knowledge: a lease is renewed also while the view stands still. Only the owner thread touches it.
+ * How far back this process may be behind: [sinceNs] is when a read of the revision that the view has reached was
+ * *sent*. All that was committed before it, and so all that users were told before it, is in the view. An answer to
+ * anything else shows contact, not knowledge: a lease is renewed also while the view stands still. Only the owner
+ * thread touches it.
  */
 class ViewFreshness {
     private class Read(val sentNs: Long, val revision: ULong)
--- a/src/main/kotlin/flaxfield/workers/AnswerReachability.kt
+++ b/src/main/kotlin/flaxfield/workers/AnswerReachability.kt
@@ -24,7 +24,9 @@
             // It has outlived a lease in this session: an answer must have renewed it.
             nowNs - tenureNs > leaseNs * OUTLIVED -> copy(missed = 0)
             launched.isEmpty() -> this
-            launched.any { l -> r.tasks.any { it.job == l.job && it.index == l.index && it.attempt == l.attempt } } -> copy(missed = 0)
+            launched.any { l ->
+                r.tasks.any { it.job == l.job && it.index == l.index && it.attempt == l.attempt }
+            } -> copy(missed = 0)
             else -> copy(missed = missed + 1)
         }
     }
--- a/src/main/kotlin/flaxfield/workers/DirectOrders.kt
+++ b/src/main/kotlin/flaxfield/workers/DirectOrders.kt
@@ -13,7 +13,9 @@
 class DirectOrders(private val timeoutMs: Long, private val most: Int, private val connect: (Address) -> Calls) {
     private var underWay = 0
 
-    /** The answer is not used: a report by `/do` may be older than a launch on its way. [post] leads back to the owner. */
+    /**
+     * The answer is not used: a report by `/do` may be older than a launch on its way. [post] leads back to the owner.
+     */
     fun send(address: String, message: Map<String, Any?>, post: (() -> Unit) -> Unit): Boolean {
         if (underWay >= most) return false
         val parsed = try {
--- a/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
+++ b/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
@@ -8,12 +8,22 @@
 import org.slf4j.LoggerFactory
 
 /** Tells workers what can't wait for their next report: halts, and the epoch where they do not come by themselves. */
-class HaltDispatcher(private val context: NodeContext, private val hosts: WorkerHealth, private val direct: DirectOrders) {
+class HaltDispatcher(
+    private val context: NodeContext,
+    private val hosts: WorkerHealth,
+    private val direct: DirectOrders,
+) {
     /** The cloud takes the machine back soon: tasks that can save are stopped, so that they go on elsewhere. */
     fun drain(report: Report, term: ULong) {
         for (list in context.view.on(report.host).groupBy { it.job.id }.values) {
             val job = list.first().job
-            if (job.spec.saveEveryS <= 0.0 || job.isGang && job.spec.taskCount > 1 && list.size == job.spec.taskCount) continue
+            if (job.spec.saveEveryS <= 0.0 ||
+                job.isGang &&
+                job.spec.taskCount > 1 &&
+                list.size == job.spec.taskCount
+            ) {
+                continue
+            }
             stop(job.id, list.filter { !it.placed.stopping }.map { it.placed.index }, term, "notice on ${report.host}")
         }
     }
@@ -30,9 +40,9 @@
     }
 
     /**
-     * Halts at once what the records no longer want, without waiting for the next report. What is cancelled is halted also
-     * while our lease is over, and where the machine has not reported to us yet: its records and its last summary tell
-     * enough. A halt of a cancelled task is right under any term, and a worker drops it if it knows a newer one.
+     * Halts at once what the records no longer want, without waiting for the next report. What is cancelled is halted
+     * also while our lease is over, and where the machine has not reported to us yet: its records and its last summary
+     * tell enough. A halt of a cancelled task is right under any term, and a worker drops it if it knows a newer one.
      */
     fun haltNow() {
         val term = context.view.assignment?.term ?: return
@@ -50,7 +60,14 @@
             val halts = Orders.haltsNow(context.view.on(host), book.report, quiet(book), mayDecide)
             if (halts.isEmpty()) continue
             val worker = worker(book) ?: continue
-            if (!direct.send(worker.address, ReportCodec.encodeDirect(term, worker.session, halts), context.post)) continue
+            if (!direct.send(
+                    worker.address,
+                    ReportCodec.encodeDirect(term, worker.session, halts),
+                    context.post,
+                )
+            ) {
+                continue
+            }
             book.haltedNs = context.nowNs
             log.debug("host={} term={} direct={}", host, term, halts)
         }
@@ -59,12 +76,18 @@
     /** Where a worker is to be reached. */
     private class Reached(val address: String, val session: ULong)
 
-    /** By what it last told us or, if that is newer, an earlier owner: a late copy may have been the first that we heard. */
+    /**
+     * By what it last told us or, if that is newer, an earlier owner: a late copy may have been the first that we
+     * heard.
+     */
     private fun worker(book: WorkerState): Reached? {
         val report = book.report
         val room = context.view.lastRoom(book.host)?.takeIf { it.session > 0uL && it.address.isNotEmpty() }
         return when {
-            report != null && (room == null || report.session >= room.session) -> Reached(report.address, report.session)
+            report != null && (room == null || report.session >= room.session) -> Reached(
+                report.address,
+                report.session,
+            )
             room != null -> Reached(room.address, room.session)
             else -> null
         }
@@ -87,7 +110,14 @@
             val book = hosts.book(host)
             if (context.nowNs - maxOf(book.reportNs, hosts.ownerSinceNs, book.pushedNs) < quiet) continue
             val worker = worker(book) ?: continue
-            if (!direct.send(worker.address, ReportCodec.encodeDirect(term, worker.session, emptyList()), context.post)) continue
+            if (!direct.send(
+                    worker.address,
+                    ReportCodec.encodeDirect(term, worker.session, emptyList()),
+                    context.post,
+                )
+            ) {
+                continue
+            }
             book.pushedNs = context.nowNs
             log.debug("host={} epoch={} pushed", host, term)
         }
--- a/src/main/kotlin/flaxfield/workers/Halting.kt
+++ b/src/main/kotlin/flaxfield/workers/Halting.kt
@@ -2,8 +2,8 @@
 
 /**
  * Pure: how often a worker has shown tasks of cancelled jobs though it was told to halt them. A worker that takes an
- * answer carries out its orders, so that this should never come to anything; if it does, the end of its lease is the last
- * way to keep the promise of `cancel_s`.
+ * answer carries out its orders, so that this should never come to anything; if it does, the end of its lease is the
+ * last way to keep the promise of `cancel_s`.
  */
 data class Halting(
     private val session: ULong = 0uL,
--- a/src/main/kotlin/flaxfield/workers/Orders.kt
+++ b/src/main/kotlin/flaxfield/workers/Orders.kt
@@ -10,8 +10,9 @@
 /** Pure decisions on one worker's report: the records are what should be, the report is what is. */
 object Orders {
     /**
-     * So many records a machine may carry. A report tells of as many tasks again that have ended and are not cleared yet,
-     * some 70 bytes each, and what is sent to us or by us must fit 64 KiB: one that does not is lost, and its lease too.
+     * So many records a machine may carry. A report tells of as many tasks again that have ended and are not cleared
+     * yet, some 70 bytes each, and what is sent to us or by us must fit 64 KiB: one that does not is lost, and its
+     * lease too.
      */
     const val MOST_TASKS = 300
 
@@ -63,7 +64,10 @@
         }
     }
 
-    /** Halts of what the view knows as cancelled, and nothing else: such an order is right under any term and without a lease. */
+    /**
+     * Halts of what the view knows as cancelled, and nothing else: such an order is right under any term and without a
+     * lease.
+     */
     fun cancelled(report: Report, records: List<OnHost>): List<Order> {
         val off = records.filter { it.job.cancelled }.associateBy { it.job.id to it.placed.index }
         if (off.isEmpty()) return emptyList()
--- a/src/main/kotlin/flaxfield/workers/Renewal.kt
+++ b/src/main/kotlin/flaxfield/workers/Renewal.kt
@@ -17,7 +17,8 @@
     val freshS = times.reportS
 
     /** Where `cancel_s` leaves no room for a lease, reports are answered on knowledge alone. */
-    val boundS = maxOf(times.cancelS * (1 - DRIFT) - times.leaseS * (1 + DRIFT) - times.reportS * MARGIN_REPORTS, freshS)
+    val boundS =
+        maxOf(times.cancelS * (1 - DRIFT) - times.leaseS * (1 + DRIFT) - times.reportS * MARGIN_REPORTS, freshS)
 
     val boundNs = (boundS * NANOS_PER_SECOND).toLong()
     val freshNs = (freshS * NANOS_PER_SECOND).toLong()
--- a/src/main/kotlin/flaxfield/workers/Report.kt
+++ b/src/main/kotlin/flaxfield/workers/Report.kt
@@ -37,7 +37,12 @@
 
     data class Launch(override val job: String, override val index: Int, override val attempt: ULong) : Order
 
-    data class Halt(override val job: String, override val index: Int, override val attempt: ULong, val windDownS: Double) : Order
+    data class Halt(
+        override val job: String,
+        override val index: Int,
+        override val attempt: ULong,
+        val windDownS: Double,
+    ) : Order
 
     data class Clear(override val job: String, override val index: Int, override val attempt: ULong) : Order
 }
@@ -126,7 +131,10 @@
 
     private fun missing(field: String): Nothing = throw MalformedException("$field is missing or invalid")
 
-    fun encode(epoch: ULong, orders: List<Order>): Map<String, Any?> = mapOf("epoch" to epoch, "orders" to orders.map(::order))
+    fun encode(epoch: ULong, orders: List<Order>): Map<String, Any?> = mapOf(
+        "epoch" to epoch,
+        "orders" to orders.map(::order),
+    )
 
     fun encodeDirect(epoch: ULong, session: ULong, orders: List<Order>): Map<String, Any?> =
         encode(epoch, orders) + mapOf("tenure" to session)
--- a/src/main/kotlin/flaxfield/workers/ReportHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/ReportHandler.kt
@@ -49,9 +49,9 @@
      * sent back at first, it waited 4 s twice, and its lease was over. Its reports are handed on, and it is sent
      * to its owner again only now and then.
      *
-     * Who does not know our term yet gets it here, with its lease renewed, and is sent on when it next reports, at once:
-     * after a restart of all nodes, leases ran out on the way from node to node. Its owner then hears it under the
-     * present epoch from the first report on.
+     * Who does not know our term yet gets it here, with its lease renewed, and is sent on when it next reports, at
+     * once: after a restart of all nodes, leases ran out on the way from node to node. Its owner then hears it under
+     * the present epoch from the first report on.
      */
     private fun notOurs(report: Report, book: WorkerState, body: ByteArray, term: ULong, reply: Reply) {
         if (report.epoch < term && mayRenew()) {
@@ -63,7 +63,10 @@
         val now = context.nowNs
         val lease = context.settings.workers.leaseS * NANOS_PER_SECOND
         val back = book.redirectedNs != 0L && now - book.redirectedNs < lease * RELAY_SHARE
-        val lost = report.epoch == term && book.greetedTerm != term && (book.relayedNs == 0L || now - book.relayedNs < lease * RELAY_LEASES)
+        val lost =
+            report.epoch == term &&
+                book.greetedTerm != term &&
+                (book.relayedNs == 0L || now - book.relayedNs < lease * RELAY_LEASES)
         if (!back && !lost) {
             book.redirectedNs = now
             book.relayedNs = 0L
@@ -113,7 +116,8 @@
         return !assignment.leader.same(context.view.leader)
     }
 
-    private fun stateAway() = context.nowNs - context.stateOkNs > context.settings.workers.leaseS * AWAY_SHARE * NANOS_PER_SECOND
+    private fun stateAway() =
+        context.nowNs - context.stateOkNs > context.settings.workers.leaseS * AWAY_SHARE * NANOS_PER_SECOND
 
     /**
      * Answers without a decision. What is cancelled is halted all the same: a cancellation in the view is committed and
@@ -126,17 +130,25 @@
 
     /**
      * The only answer that renews a worker's lease. Not sent on a view so old that a cancellation unknown here could
-     * outlive `cancel_s`: the state service refused one controller, another confirmed cancellations, then it was out for
-     * all, and the first kept the tasks alive beyond it.
+     * outlive `cancel_s`: the state service refused one controller, another confirmed cancellations, then it was out
+     * for all, and the first kept the tasks alive beyond it.
      */
     private fun renew(report: Report, book: WorkerState, epoch: ULong, orders: List<Order>, reply: Reply) {
         if (!mayRenew()) return reply.send(503, error("the view is too old"), RETRY_S)
         book.halting = book.halting.answered(report, orders.filterIsInstance<Order.Halt>().filter { overdue(it.job) })
         if (book.halting.helpless) {
-            log.info("host={} term={} shows cancelled tasks that halts did not end: its lease is not renewed", report.host, epoch)
+            log.info(
+                "host={} term={} shows cancelled tasks that halts did not end: its lease is not renewed",
+                report.host,
+                epoch,
+            )
             return reply.send(503, error("cancelled tasks go on"), RETRY_S)
         }
-        reply.send(200, if (orders.isEmpty()) plain(epoch) else Body(Wire.encode(ReportCodec.encode(epoch, orders)), Body.CBOR), null)
+        reply.send(
+            200,
+            if (orders.isEmpty()) plain(epoch) else Body(Wire.encode(ReportCodec.encode(epoch, orders)), Body.CBOR),
+            null,
+        )
     }
 
     private var plainEpoch: ULong? = null
@@ -155,14 +167,16 @@
     private fun overdue(id: String): Boolean =
         context.view.jobs[id]?.cancelledMs?.let { context.nowMs - it > renewal.boundS * MILLIS_PER_SECOND } ?: false
 
-    private fun redirect(owner: String?, reply: Reply) = reply.send(421, Body(Wire.encode(mapOf("steward" to owner)), Body.CBOR), null)
+    private fun redirect(owner: String?, reply: Reply) =
+        reply.send(421, Body(Wire.encode(mapOf("steward" to owner)), Body.CBOR), null)
 
     private fun own(report: Report, book: WorkerState, term: ULong, reply: Reply) {
         // Our lease may be over while others already act under a newer term: no decisions, and not for ever.
         if (!context.leaseValid()) return keepAlive(report, term, reply)
         val last = book.report
         if (last != null && !report.newerThan(last.session, last.sequenceNumber)) return keepAlive(report, term, reply)
-        book.reachability = book.reachability.reported(report, term, context.nowNs, context.settings.workers.leaseS * NANOS_PER_SECOND)
+        book.reachability =
+            book.reachability.reported(report, term, context.nowNs, context.settings.workers.leaseS * NANOS_PER_SECOND)
         if (book.reachability.deaf) hosts.deaf(book)
         if (last == null) book.firstNs = context.nowNs
         book.report = report
@@ -170,7 +184,13 @@
         // answer brings the worker the epoch, and it reports again at once.
         if (report.epoch == term) hosts.alive(book, report.zone)
         if (last == null || last.session != report.session || last.warningS == null != (report.warningS == null)) {
-            log.info("host={} session={} warning_s={} reports to us, term={}", report.host, report.session, report.warningS, term)
+            log.info(
+                "host={} session={} warning_s={} reports to us, term={}",
+                report.host,
+                report.session,
+                report.warningS,
+                term,
+            )
             context.dirty = true
         }
         val machine = context.view.machines[report.host]
@@ -184,7 +204,8 @@
         if (report.warningS != null) stops.drain(report, term)
         val records = context.view.on(report.host)
         // What another node has just cancelled must not start here: launches need a view that moves on.
-        val mayLaunch = machine.phase != MachinePhase.RETIRING && context.knowledge.within(renewal.freshNs, context.nowNs)
+        val mayLaunch =
+            machine.phase != MachinePhase.RETIRING && context.knowledge.within(renewal.freshNs, context.nowNs)
         val decision = Orders.decide(report, records, term, mayLaunch)
         for (e in decision.events) {
             hosts.blame(e, book)
@@ -231,7 +252,15 @@
             if (before?.state !=
                 t.state
             ) {
-                log.debug("job={} task={} attempt={} host={} state={} cause={}", t.job, t.index, t.attempt, now.host, t.state, t.cause)
+                log.debug(
+                    "job={} task={} attempt={} host={} state={} cause={}",
+                    t.job,
+                    t.index,
+                    t.attempt,
+                    now.host,
+                    t.state,
+                    t.cause,
+                )
             }
         }
     }
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -39,8 +39,8 @@
     }
 
     /**
-     * A worker of another's part has reported here under our term: a sign of life of its zone, if it is newer than what was
-     * seen of it before. The first one may be a late copy.
+     * A worker of another's part has reported here under our term: a sign of life of its zone, if it is newer than what
+     * was seen of it before. The first one may be a late copy.
      */
     fun passed(report: Report, book: WorkerState) {
         val before = book.passed
@@ -75,7 +75,14 @@
     fun blame(e: TaskEvent, book: WorkerState) {
         if (e is TaskEvent.Done && !book.failures.none) book.failures = Failures()
         if (e !is TaskEvent.Left || !e.failed) return
-        if (book.failures.none) log.info("host={} job={} task={} failed: machine or job, its next try tells", e.host, e.job, e.index)
+        if (book.failures.none) {
+            log.info(
+                "host={} job={} task={} failed: machine or job, its next try tells",
+                e.host,
+                e.job,
+                e.index,
+            )
+        }
         book.failures = book.failures.failed(e.job, context.nowNs)
         context.dirty = true
     }
@@ -142,7 +149,9 @@
         if (context.zones?.isLost(zoneOf(host)) == true) return quiet > lease
         // If nobody of its zone reports, it is rather us who are cut off from there; but the last machines of a part
         // may be lost together, and their tasks must not wait for ever.
-        val heard = context.nowNs - (heardNs[zoneOf(host)] ?: 0L) < context.settings.workers.reportS * HEARD_REPORTS * NANOS_PER_SECOND
+        val heard =
+            context.nowNs - (heardNs[zoneOf(host)] ?: 0L) <
+                context.settings.workers.reportS * HEARD_REPORTS * NANOS_PER_SECOND
         return heard || quiet > lease * SILENT_ALONE_SHARE
     }
 
--- a/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
+++ b/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * An operator's word that what a class had in a lost zone is given up: its tasks there may be started again elsewhere, though
- * they may have ended, or still run until their machines are returned.
+ * An operator's word that what a class had in a lost zone is given up: its tasks there may be started again elsewhere,
+ * though they may have ended, or still run until their machines are returned.
  */
 data class AbandonOrder(
     val zone: String,
@@ -25,7 +25,8 @@
     val name: String get() = name(zone, jobClass)
 
     /** Whether it covers what [job] had in its zone, which has been lost [lost] times. */
-    fun covers(job: Job, lost: Long): Boolean = job.spec.jobClass == jobClass && lost <= incarnation && job.submittedMs <= orderedMs
+    fun covers(job: Job, lost: Long): Boolean =
+        job.spec.jobClass == jobClass && lost <= incarnation && job.submittedMs <= orderedMs
 
     companion object {
         /** The name under which an order about [jobClass] in [zone] is stored. */
@@ -35,7 +36,10 @@
 
 /** Stored form of the orders. */
 object AbandonCodec {
-    fun encode(order: AbandonOrder): Map<String, Any?> = mapOf("incarnation" to order.incarnation, "at" to order.orderedMs)
+    fun encode(order: AbandonOrder): Map<String, Any?> = mapOf(
+        "incarnation" to order.incarnation,
+        "at" to order.orderedMs,
+    )
 
     fun decode(name: String, o: Obj, version: ULong) = AbandonOrder(
         name.substringBefore('/'),
@@ -59,13 +63,31 @@
         ) {
             return done(OrderResult.Refused(OrderFault.CONFLICT, "zone $zone has not been lost"))
         }
-        if (context.settings.objectives.none { it.jobClass == jobClass } && snapshot.jobs.values.none { it.spec.jobClass == jobClass }) {
+        if (context.settings.objectives.none { it.jobClass == jobClass } &&
+            snapshot.jobs.values.none { it.spec.jobClass == jobClass }
+        ) {
             return done(OrderResult.Refused(OrderFault.NOT_FOUND, "no class $jobClass"))
         }
-        if (known != null && known.incarnation == record.incarnation) return done(OrderResult.Recorded(known, snapshot.revision))
+        if (known != null &&
+            known.incarnation == record.incarnation
+        ) {
+            return done(OrderResult.Recorded(known, snapshot.revision))
+        }
         val order = AbandonOrder(zone, jobClass, record.incarnation, context.nowMs, known?.version ?: 0uL)
-        writer.write("zone $zone", FleetKeys.ABANDON + order.name, order.version, AbandonCodec.encode(order)) { result ->
-            if (result is OrderResult.Recorded) log.info("zone={} class={} incarnation={} abandoned", zone, jobClass, order.incarnation)
+        writer.write(
+            "zone $zone",
+            FleetKeys.ABANDON + order.name,
+            order.version,
+            AbandonCodec.encode(order),
+        ) { result ->
+            if (result is OrderResult.Recorded) {
+                log.info(
+                    "zone={} class={} incarnation={} abandoned",
+                    zone,
+                    jobClass,
+                    order.incarnation,
+                )
+            }
             done(result.recordedAs { order.copy(version = it) })
         }
     }
--- a/src/main/kotlin/flaxfield/zones/FairLoss.kt
+++ b/src/main/kotlin/flaxfield/zones/FairLoss.kt
@@ -7,10 +7,14 @@
 import flaxfield.settings.Team
 
 /**
- * Pure: what each team should have of the machines that are left, and what it has. Tiers are served one after another; within
- * a tier what is left is shared by [FairShares].
+ * Pure: what each team should have of the machines that are left, and what it has. Tiers are served one after another;
+ * within a tier what is left is shared by [FairShares].
  */
-class FairLoss(private val snapshot: FleetSnapshot, private val teams: Map<String, Team>, private val rules: ZoneRules) {
+class FairLoss(
+    private val snapshot: FleetSnapshot,
+    private val teams: Map<String, Team>,
+    private val rules: ZoneRules,
+) {
     private val reachable = snapshot.machines.values.filter { m ->
         m.takesWork && snapshot.zones[m.zone]?.closed != true && snapshot.rooms[m.name]?.state == HostState.OK
     }.associateBy { it.name }
--- a/src/main/kotlin/flaxfield/zones/FairShares.kt
+++ b/src/main/kotlin/flaxfield/zones/FairShares.kt
@@ -15,14 +15,23 @@
 /** A team's fair part of what is left, and what it has. */
 data class TeamShare(val team: String, val target: Capacity, val held: Capacity) {
     /** How far it is below its target, as a part of it by its dominant resource; 0 if it has all of it or more. */
-    val shortfall: Double get() = maxOf(missing(target.cpus, held.cpus), missing(target.accelerators, held.accelerators))
+    val shortfall: Double get() = maxOf(
+        missing(target.cpus, held.cpus),
+        missing(target.accelerators, held.accelerators),
+    )
 
-    private fun missing(target: Double, held: Double) = if (target <= 0.0) 0.0 else ((target - held) / target).coerceAtLeast(0.0)
+    private fun missing(target: Double, held: Double) = if (target <=
+        0.0
+    ) {
+        0.0
+    } else {
+        ((target - held) / target).coerceAtLeast(0.0)
+    }
 }
 
 /**
- * Pure: weighted max-min fairness over CPUs and accelerators together. Every team's part grows at the same pace relative to its
- * guarantee, until it has what it wants or one of the resources that it wants is used up.
+ * Pure: weighted max-min fairness over CPUs and accelerators together. Every team's part grows at the same pace
+ * relative to its guarantee, until it has what it wants or one of the resources that it wants is used up.
  */
 object FairShares {
     /** What each of [wants] should get of [room]. [DominantShare] is what grows. */
@@ -50,7 +59,13 @@
         return if (whole <= 0.0) 0.0 else 1.0 / whole
     }
 
-    private fun time(left: Double, pace: Double): Double = if (pace <= 0.0) Double.MAX_VALUE else left.coerceAtLeast(0.0) / pace
+    private fun time(left: Double, pace: Double): Double = if (pace <=
+        0.0
+    ) {
+        Double.MAX_VALUE
+    } else {
+        left.coerceAtLeast(0.0) / pace
+    }
 
     private fun isBlocked(w: TeamWant, left: Capacity) =
         w.want.cpus > 0.0 && left.cpus <= EPSILON || w.want.accelerators > 0.0 && left.accelerators <= EPSILON
--- a/src/main/kotlin/flaxfield/zones/FleetZoneRules.kt
+++ b/src/main/kotlin/flaxfield/zones/FleetZoneRules.kt
@@ -6,7 +6,10 @@
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobSpec
 
-/** What the fleet files and the operators' orders say, as of the latest snapshot. While files differ, the strictest applies. */
+/**
+ * What the fleet files and the operators' orders say, as of the latest snapshot. While files differ, the strictest
+ * applies.
+ */
 class FleetZoneRules(private val snapshot: () -> FleetSnapshot) : ZoneRules {
     private var policyOf: FleetSnapshot? = null
     private var policy: FleetPolicy? = null
@@ -14,7 +17,11 @@
     /** Also of files of earlier runs, and of some members only: what one file forbids stays forbidden. */
     private fun policy(): FleetPolicy? {
         val now = snapshot()
-        if (policyOf?.configs !== now.configs) policy = now.configs.values.takeIf { it.isNotEmpty() }?.let(::FleetPolicy)
+        if (policyOf?.configs !==
+            now.configs
+        ) {
+            policy = now.configs.values.takeIf { it.isNotEmpty() }?.let(::FleetPolicy)
+        }
         policyOf = now
         return policy
     }
--- a/src/main/kotlin/flaxfield/zones/RecoveryOrder.kt
+++ b/src/main/kotlin/flaxfield/zones/RecoveryOrder.kt
@@ -5,8 +5,8 @@
 import java.util.PriorityQueue
 
 /**
- * Pure: the order in which work is served while a zone is lost or returning. The same order decides which machines of the
- * zone are given up first, whose proofs are committed, for whom machines are rented, and who is placed.
+ * Pure: the order in which work is served while a zone is lost or returning. The same order decides which machines of
+ * the zone are given up first, whose proofs are committed, for whom machines are rented, and who is placed.
  */
 object RecoveryOrder {
     private data class Rank(val last: Boolean, val late: Boolean, val tier: Int, val within: Boolean)
@@ -14,16 +14,24 @@
     private val RANKS = compareBy<Rank>({ it.last }, { !it.late }, { it.tier }, { !it.within })
 
     /**
-     * Jobs that have waited since before [lateMs] without a task begun come first, so that no tier starves another for good;
-     * those that seem to be mistakes come last. Between them the [tier] decides (0 is the most urgent), then whether the job
-     * lies within its team's guarantee, then the teams' shares, then for how long it has waited: a job that had begun
-     * before the loss at [lossMs] waits since then, for its tasks were running; behind it, everything younger would wait for what
-     * was displaced, and before it, what is displaced would wait for all that comes.
+     * Jobs that have waited since before [lateMs] without a task begun come first, so that no tier starves another for
+     * good; those that seem to be mistakes come last. Between them the [tier] decides (0 is the most urgent), then
+     * whether the job lies within its team's guarantee, then the teams' shares, then for how long it has waited: a job
+     * that had begun before the loss at [lossMs] waits since then, for its tasks were running; behind it, everything
+     * younger would wait for what was displaced, and before it, what is displaced would wait for all that comes.
      *
      * Teams take turns: the next job is of the team whose share of its guarantee is the smallest, with what it has been
-     * given in this order counted. This is progressive filling, the discrete form of weighted max-min fairness, see [FairShares].
+     * given in this order counted. This is progressive filling, the discrete form of weighted max-min fairness, see
+     * [FairShares].
      */
-    fun sort(jobs: Collection<Job>, guaranteed: Set<String>, use: TeamUse, lateMs: Long, lossMs: Long, tier: (Job) -> Int): List<Job> {
+    fun sort(
+        jobs: Collection<Job>,
+        guaranteed: Set<String>,
+        use: TeamUse,
+        lateMs: Long,
+        lossMs: Long,
+        tier: (Job) -> Int,
+    ): List<Job> {
         val given = use.copy()
         val age = compareBy<Job>({ if (it.hasBegun) maxOf(it.submittedMs, lossMs) else it.submittedMs }, { it.id })
         val groups = jobs.groupBy { rank(it, guaranteed, lateMs, tier) }.toSortedMap(RANKS)
--- a/src/main/kotlin/flaxfield/zones/ZoneEvidence.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneEvidence.kt
@@ -54,8 +54,8 @@
         const val FEWEST_MACHINES = 3
 
         /**
-         * The evidence of each zone from what the members tell, by member and zone; null while a member has told nothing
-         * under this term, since it may be the one that hears.
+         * The evidence of each zone from what the members tell, by member and zone; null while a member has told
+         * nothing under this term, since it may be the one that hears.
          */
         fun of(members: Collection<String>, told: Map<String, Map<String, ZoneHearing>>): Map<String, ZoneEvidence>? {
             if (members.isEmpty() || members.any { it !in told }) return null
