--- a/src/main/kotlin/flaxfield/zones/ZoneHealth.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneHealth.kt
@@ -7,15 +7,19 @@
     private val leaseMs = leaseS * MILLIS_PER_SECOND
 
     /**
-     * From suspicion to loss. With [SILENT_LEASES] before it, the silence has then lasted for a lease: what nobody renewed
-     * has ended, and a shorter cut moves nothing.
+     * From suspicion to loss. With [SILENT_LEASES] before it, the silence has then lasted for a lease: what nobody
+     * renewed has ended, and a shorter cut moves nothing.
      */
     val confirmMs: Long = (leaseMs * (1.0 - SILENT_LEASES)).toLong()
 
     /** How long a step of the return lasts: every worker has reported twice. */
-    fun stepMs(relapses: Int): Long = (leaseMs * STEP_LEASES * (1.0 + LONGER * relapses.coerceAtMost(MOST_RELAPSES))).toLong()
+    fun stepMs(relapses: Int): Long =
+        (leaseMs * STEP_LEASES * (1.0 + LONGER * relapses.coerceAtMost(MOST_RELAPSES))).toLong()
 
-    /** How long a zone that keeps silent is left alone before it is tried anew: its machines have all been returned by then. */
+    /**
+     * How long a zone that keeps silent is left alone before it is tried anew: its machines have all been returned by
+     * then.
+     */
     val retryMs: Long = (leaseMs * RETRY_LEASES).toLong()
 
     /** A zone that has been healthy for so long starts its next return as if it had never failed. */
@@ -35,7 +39,10 @@
         private const val STAGE_LEASES = 1.0
         private const val MOST_STAGES = 2
 
-        /** A step takes this much longer for each further loss, up to half as long again: what is bound to the zone waits for it. */
+        /**
+         * A step takes this much longer for each further loss, up to half as long again: what is bound to the zone
+         * waits for it.
+         */
         private const val LONGER = 0.25
         const val MOST_RELAPSES = 2
     }
@@ -44,9 +51,9 @@
 /** Pure: what becomes of the zones' records as the evidence goes. */
 class ZoneHealth(private val times: ZoneTimes) {
     /**
-     * The records that change now, at [nowMs], where [records] are those so far and [machines] tells how many machines each
-     * zone has. When more than half of the zones that can be judged are silent at once, it is rather our own hearing that
-     * fails: then no zone is suspected or given up.
+     * The records that change now, at [nowMs], where [records] are those so far and [machines] tells how many machines
+     * each zone has. When more than half of the zones that can be judged are silent at once, it is rather our own
+     * hearing that fails: then no zone is suspected or given up.
      */
     fun next(
         records: Map<String, ZoneRecord>,
@@ -65,7 +72,13 @@
 
     private fun unheard(zone: String) = ZoneEvidence(zone, 0, silent = false, heard = false)
 
-    private fun next(now: ZoneRecord, evidence: ZoneEvidence, machines: Int, trusted: Boolean, nowMs: Long): ZoneRecord {
+    private fun next(
+        now: ZoneRecord,
+        evidence: ZoneEvidence,
+        machines: Int,
+        trusted: Boolean,
+        nowMs: Long,
+    ): ZoneRecord {
         val silent = trusted && evidence.silent && evidence.expected >= ZoneEvidence.FEWEST_MACHINES
         val forMs = nowMs - now.sinceMs
         return when (now.state) {
@@ -77,14 +90,25 @@
             }
             ZoneState.LOST -> when {
                 evidence.heard -> now.copy(state = ZoneState.RETURNING, sinceMs = nowMs, endedMs = nowMs)
-                forMs >= times.retryMs -> now.copy(state = ZoneState.RETURNING, sinceMs = nowMs, endedMs = nowMs, step = ReturnRamp.TRIAL)
+                forMs >= times.retryMs -> now.copy(
+                    state = ZoneState.RETURNING,
+                    sinceMs = nowMs,
+                    endedMs = nowMs,
+                    step = ReturnRamp.TRIAL,
+                )
                 else -> now
             }
             ZoneState.RETURNING -> returning(now, evidence, silent, machines, nowMs)
         }
     }
 
-    private fun returning(now: ZoneRecord, evidence: ZoneEvidence, silent: Boolean, machines: Int, nowMs: Long): ZoneRecord {
+    private fun returning(
+        now: ZoneRecord,
+        evidence: ZoneEvidence,
+        silent: Boolean,
+        machines: Int,
+        nowMs: Long,
+    ): ZoneRecord {
         // Machines that are tried anew and keep silent tell nothing new: there were none but them.
         if (silent && now.step > ReturnRamp.TRIAL) return lost(now, maxOf(machines, now.machines), nowMs)
         if (!evidence.heard || nowMs - now.sinceMs < stepMs(now)) return now
--- a/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's watch over the zones: it alone writes their records, under its term and on the version that it knows. Whatever
- * is needed to go on is in the records, so that the next leader goes on where this one ended.
+ * The leader's watch over the zones: it alone writes their records, under its term and on the version that it knows.
+ * Whatever is needed to go on is in the records, so that the next leader goes on where this one ended.
  */
 class ZoneReconciler(private val context: NodeContext) {
     private val health = ZoneHealth(ZoneTimes(context.settings.workers.leaseS))
@@ -30,7 +30,9 @@
         val view = context.view
         val members = view.assignment?.members.orEmpty().map { it.name }
         val evidence = ZoneEvidence.of(members, view.hearings()) ?: return
-        val machines = view.machines.values.filter { it.phase != MachinePhase.RETIRING }.groupingBy { it.zone }.eachCount()
+        val machines = view.machines.values.filter {
+            it.phase != MachinePhase.RETIRING
+        }.groupingBy { it.zone }.eachCount()
         for (next in health.next(view.zones, evidence, machines, context.nowMs)) write(next, evidence[next.zone])
     }
 
--- a/src/main/kotlin/flaxfield/zones/ZoneRecord.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneRecord.kt
@@ -10,7 +10,9 @@
     /** Its workers have just fallen silent together: it gets no new work until it is known whether they come back. */
     SUSPECT,
 
-    /** Its workers have been silent for a worker's lease: its machines are given up, in the order of what runs on them. */
+    /**
+     * Its workers have been silent for a worker's lease: its machines are given up, in the order of what runs on them.
+     */
     LOST,
 
     /** It is heard again, or tried anew with a few machines: it gets work back in growing shares. */
@@ -51,7 +53,8 @@
 
     companion object {
         /** The record of a zone that has never been seen to fail. */
-        fun healthy(zone: String, sinceMs: Long) = ZoneRecord(zone, ZoneState.HEALTHY, 0, sinceMs, 0, ReturnRamp.FIRST, 0, 0, 0, 0uL)
+        fun healthy(zone: String, sinceMs: Long) =
+            ZoneRecord(zone, ZoneState.HEALTHY, 0, sinceMs, 0, ReturnRamp.FIRST, 0, 0, 0, 0uL)
     }
 }
 
--- a/src/main/kotlin/flaxfield/zones/ZoneRecovery.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneRecovery.kt
@@ -10,7 +10,8 @@
 import flaxfield.store.StoreKeys
 
 /**
- * What the schedulers ask of the zones' records; the owner thread calls it. With every zone healthy it changes no decision.
+ * What the schedulers ask of the zones' records; the owner thread calls it. With every zone healthy it changes no
+ * decision.
  */
 class ZoneRecovery(private val context: NodeContext) {
     private val view = context.view
@@ -57,9 +58,9 @@
     ) { rules.tier(it.spec) }
 
     /**
-     * Whether [machine], which is silent, may be given up for that now. In a lost zone machines with the most urgent tasks are
-     * due at once and each tier after it a stage later; empty ones are due last. A zone that comes back between two stages finds
-     * its lower tiers' machines as they were, and nobody has rented others in their place.
+     * Whether [machine], which is silent, may be given up for that now. In a lost zone machines with the most urgent
+     * tasks are due at once and each tier after it a stage later; empty ones are due last. A zone that comes back
+     * between two stages finds its lower tiers' machines as they were, and nobody has rented others in their place.
      */
     fun givesUp(machine: Machine): Boolean {
         val record = view.zones[machine.zone]?.takeIf { it.state == ZoneState.LOST } ?: return true
@@ -69,9 +70,13 @@
     }
 
     /** Keeps less urgent work from going ahead of the jobs [underWay]; null while nothing is being recovered from. */
-    fun gate(underWay: Collection<Job>): TierGate? = if (isRecovering) TierGate(underWay) { rules.tier(it.spec) } else null
+    fun gate(underWay: Collection<Job>): TierGate? =
+        if (isRecovering) TierGate(underWay) { rules.tier(it.spec) } else null
 
-    /** Whether [job] must do with cheap machines for now: a loss is being recovered from, and more urgent work is unfinished. */
+    /**
+     * Whether [job] must do with cheap machines for now: a loss is being recovered from, and more urgent work is
+     * unfinished.
+     */
     fun keepsToCheap(job: Job): Boolean {
         if (!isRecovering || context.waitedLong(job)) return false
         val tier = rules.tier(job.spec)
@@ -112,8 +117,8 @@
     private val openedBy = HashMap<String, Opened>()
 
     /**
-     * The machines of a returning zone that may get new work. The same on each node at the same revision, and the same from
-     * one moment to the next while they live: by name among those not known to be silent or faulty.
+     * The machines of a returning zone that may get new work. The same on each node at the same revision, and the same
+     * from one moment to the next while they live: by name among those not known to be silent or faulty.
      */
     private fun opened(record: ZoneRecord): Set<String> {
         val known = openedBy[record.zone]
--- a/src/test/kotlin/flaxfield/drain/LoopbackDrain.kt
+++ b/src/test/kotlin/flaxfield/drain/LoopbackDrain.kt
@@ -47,8 +47,9 @@
 }
 
 /**
- * A drain of half of the machines, ordered from the built jar's own client, against three controllers of the built jar and this
- * repository's stand-ins. The leader is killed in mid-drain and another node is asked. Not part of CI; needs a build.
+ * A drain of half of the machines, ordered from the built jar's own client, against three controllers of the built jar
+ * and this repository's stand-ins. The leader is killed in mid-drain and another node is asked. Not part of CI; needs a
+ * build.
  */
 fun main() {
     val nodes = listOf(LoopbackNode("n-0", "a"), LoopbackNode("n-1", "b"), LoopbackNode("n-2", "a"))
--- a/src/test/kotlin/flaxfield/jobs/JobTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/JobTest.kt
@@ -223,8 +223,8 @@
             Triple("a mistake has no claim", mistaken to 99_000L, false),
         )
         for ((what, asked, want) in table) assertEquals(want, waits.long(asked.first, asked.second), what)
-        // A placement that was taken back within a second, with its machine, ran nothing: the job goes on waiting. Counted
-        // anew from there, it waited for 90 s beside a machine that fits.
+        // A placement that was taken back within a second, with its machine, ran nothing: the job goes on waiting.
+        // Counted anew from there, it waited for 90 s beside a machine that fits.
         waits.note(listOf(job.on(0 to "h")), 60_000)
         assertEquals(false, waits.long(job.on(0 to "h"), 60_500), "placed now")
         waits.note(listOf(job), 61_000)
--- a/src/test/kotlin/flaxfield/sim/MeetingsTest.kt
+++ b/src/test/kotlin/flaxfield/sim/MeetingsTest.kt
@@ -80,8 +80,8 @@
     fun `no rule breaks where troubles meet`(seed: Int, kind: String) = meet(kind, SimCluster(seed, perZone = 4))
 
     /**
-     * The same where the controllers lack processor time: what they do is late, they act on the past, and refuse what they
-     * can't take. The rules hold all the same, and what was accepted is served once there is time again.
+     * The same where the controllers lack processor time: what they do is late, they act on the past, and refuse what
+     * they can't take. The rules hold all the same, and what was accepted is served once there is time again.
      */
     @ParameterizedTest
     @CsvSource(
@@ -99,8 +99,9 @@
     }
 
     /**
-     * Three gangs of one team wait for more than its limit, and its arrays have one task each at a time meanwhile. One of them,
-     * which never saves, lost 27 s of work to a gang beside tasks that would have lost nothing, and was at work at a day's end.
+     * Three gangs of one team wait for more than its limit, and its arrays have one task each at a time meanwhile. One
+     * of them, which never saves, lost 27 s of work to a gang beside tasks that would have lost nothing, and was at
+     * work at a day's end.
      */
     @ParameterizedTest
     @CsvSource("1159, behind+lone")
--- a/src/test/kotlin/flaxfield/sim/SimProcessor.kt
+++ b/src/test/kotlin/flaxfield/sim/SimProcessor.kt
@@ -14,9 +14,9 @@
 }
 
 /**
- * The processor of one controller. While it is [slow], each piece of work takes its time and what comes meanwhile waits in
- * its order, so that a controller acts on the past, as one does that lacks processor time. What comes in beyond a bound is
- * refused, as by the first stage of a real node.
+ * The processor of one controller. While it is [slow], each piece of work takes its time and what comes meanwhile waits
+ * in its order, so that a controller acts on the past, as one does that lacks processor time. What comes in beyond a
+ * bound is refused, as by the first stage of a real node.
  */
 class SimProcessor(private val loop: SimLoop) {
     var slow = false
--- a/src/test/kotlin/flaxfield/workers/RenewalTest.kt
+++ b/src/test/kotlin/flaxfield/workers/RenewalTest.kt
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test
 
 /**
- * A report was answered for 0.6 of `cancel_s` after the last contact, and its worker then lived for a lease more: longer
- * than `cancel_s` in all wherever a lease is more than 0.4 of it.
+ * A report was answered for 0.6 of `cancel_s` after the last contact, and its worker then lived for a lease more:
+ * longer than `cancel_s` in all wherever a lease is more than 0.4 of it.
  */
 class RenewalTest {
     private fun times(report: Double, lease: Double, cancel: Double) = WorkerTimes(report, lease, 45.0, 8.0, cancel)
