--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/CloudGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class CloudGoldenTest : GoldenFixtureTest(CloudProtocol.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/CommandLineEndsGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class CommandLineEndsGoldenTest : GoldenFixtureTest(CommandLineEnds.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/MetricsGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class MetricsGoldenTest : GoldenFixtureTest(MetricsText.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/OperatorGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class OperatorGoldenTest : GoldenFixtureTest(OperatorMessages.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
@@ -0,0 +1,78 @@
+package flaxfield.golden
+
+import com.google.protobuf.MessageLite
+import flaxfield.arrays.MachineHealth
+import flaxfield.drain.Capacity
+import flaxfield.drain.RepeatPolicy
+import flaxfield.drain.WaitReason
+import flaxfield.golden.GoldenCases.textOnly
+import flaxfield.operator.Answers
+import flaxfield.operator.JobExplainer
+import flaxfield.operator.WaitText
+import flaxfield.operator.ZoneAnswers
+import org.junit.jupiter.api.Assertions.assertEquals
+
+/** What operators are told over gRPC, from one snapshot. */
+object OperatorMessages {
+    private const val MAX_ENTRIES = 100
+    private val snapshot = OperatorSnapshot.snapshot
+    private val answers get() = Answers(snapshot, MAX_ENTRIES)
+    private val answersWithoutConfig get() = Answers(
+        snapshot.copy(configs = snapshot.configs.remove("n-1")),
+        MAX_ENTRIES,
+    )
+    private val zoneAnswers get() = ZoneAnswers(snapshot, OperatorSnapshot.teams)
+
+    private val messages = listOf(
+        proto("drains") { answers.drains() },
+        proto("drains-without-config") { answersWithoutConfig.drains() },
+        proto("budgets") { answers.budgets() },
+        proto("budget-of-team") { listOf(checkNotNull(answers.budgetOf("green"))) },
+        proto("machines") { answers.machines() },
+        proto("zones") { zoneAnswers.zones() },
+        proto("shares") { zoneAnswers.shares() },
+        proto("explanations") {
+            OperatorSnapshot.jobs.map { JobExplainer(snapshot, OperatorSnapshot.teams).explain(it) }
+        },
+    )
+
+    /** Each message as a block of bytes; read back, it must be the very message. */
+    private fun proto(name: String, make: () -> List<MessageLite>) =
+        GoldenCase("$name.hex", { hex(make()) }) { fixture ->
+            val expected = make()
+            val blocks = fixture.split(SEPARATOR).dropLast(1)
+            assertEquals(
+                expected,
+                blocks.mapIndexed { i, block ->
+                    expected[i].parserForType.parseFrom(HexText.bytes(block))
+                },
+            )
+            assertEquals(fixture, hex(expected))
+        }
+
+    private fun hex(messages: List<MessageLite>) = messages.joinToString("") {
+        HexText.of(it.toByteArray()) + SEPARATOR
+    }
+
+    private val amount = Capacity(4.0, 0.5)
+
+    private val reasons = listOf(
+        WaitReason.WithoutConfig(listOf("n-0", "n-1")),
+        WaitReason.LargerThanBudget("job-1", "red", amount, amount),
+        WaitReason.BudgetSpent("red", amount, amount, amount),
+        WaitReason.OlderDrainFirst("drain-1", "red"),
+        WaitReason.Stopping(3),
+        WaitReason.GangUnsettled("job-1"),
+        WaitReason.LedgerFull("red", 100),
+        WaitReason.MostCordoned(200),
+    ) + RepeatPolicy.entries.map { WaitReason.NoRepeat("job-1", "train", it) } +
+        MachineHealth.entries.map(WaitReason::NotReporting)
+
+    private val waits = textOnly("wait-reasons.encode-only.txt") {
+        reasons.joinToString("") { "${WaitText.word(it)}: ${WaitText.sentence(it)}\n" }
+    }
+
+    private const val SEPARATOR = "--\n"
+
+    val suite = GoldenSuite("operator", messages + waits)
+}
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/PeerGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class PeerGoldenTest : GoldenFixtureTest(PeerProtocol.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/SettingsFilesGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class SettingsFilesGoldenTest : GoldenFixtureTest(SettingsFiles.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/StateServiceGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class StateServiceGoldenTest : GoldenFixtureTest(StateServiceProtocol.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/StoredRecordsGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class StoredRecordsGoldenTest : GoldenFixtureTest(StoredRecords.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/TransactionsGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class TransactionsGoldenTest : GoldenFixtureTest(Transactions.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/UserGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class UserGoldenTest : GoldenFixtureTest(UserProtocol.suite)
--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/WorkerProtocolGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class WorkerProtocolGoldenTest : GoldenFixtureTest(WorkerProtocol.suite)
