--- a/src/main/kotlin/flaxfield/fleet/MachineReturner.kt
+++ b/src/main/kotlin/flaxfield/fleet/MachineReturner.kt
@@ -100,7 +100,8 @@
         val unknown = unknownMachines.due(context.view.machines.keys, context.nowNs - limit)
         val retiring = context.view.machines.values
             .filter {
-                it.phase == MachinePhase.RETIRING && it.name !in gone &&
+                it.phase == MachinePhase.RETIRING &&
+                    it.name !in gone &&
                     !context.transactions.isWritePending(StoreKeys.MACHINE + it.name)
             }
             .filter { context.zones?.mayReturn(it) ?: true }
--- a/src/test/kotlin/flaxfield/sim/SimCluster.kt
+++ b/src/test/kotlin/flaxfield/sim/SimCluster.kt
@@ -12,9 +12,11 @@
 import flaxfield.drain.FleetControl
 import flaxfield.drain.OrderResult
 import flaxfield.jobs.JobSpec
+import flaxfield.net.HttpTransport
 import flaxfield.net.Request
 import flaxfield.net.Response
 import flaxfield.peers.PeerConnection
+import flaxfield.peers.PeerFrames
 import flaxfield.peers.PeerMessage
 import flaxfield.settings.Address
 import flaxfield.settings.OperatorSettings
@@ -42,6 +44,7 @@
     private val machineZones: List<String> = listOf("a", "b"),
     private val operator: OperatorSettings = OperatorSettings(),
 ) {
+    private val recorder = SimRecorder.current
     val loop = SimLoop(seed)
     val state = SimState(loop, limits)
     val rules = Rules(teams.filter { it.gpusMax > 0.0 }.associate { it.name to it.gpusMax }, cancelS, LEASE_S)
@@ -186,14 +189,16 @@
             }
         }
         val transports = ControllerTransports(
-            stateWire[i].line(alive) { m, t, b, answer -> state.serve(i, m, t, b, answer) },
-            stateWire[i].line(alive) { m, t, b, answer -> state.serve(i, m, t, b, answer) },
+            storeTransport(i, alive),
+            storeTransport(i, alive),
             cloudWire[i].apply {
                 late = 0.02
                 loseAnswer = 0.02
-            }.line(alive, cloud::serve),
+            }.line(alive, cloud::serve).let { recorded(SimChannel.CLOUD, names[i], it) },
             { address ->
-                workerWire[i].line(alive) { _, _, body, answer -> if (!workersCut[i]) direct(i, address, body, answer) }
+                workerWire[i].line(alive) { _, _, body, answer ->
+                    if (!workersCut[i]) direct(i, address, body, answer)
+                }.let { recorded(SimChannel.COMMAND, "${names[i]} ${address.host}:${address.port}", it) }
             },
             { address, onMessage -> PeerConnection { m -> peer(i, address, m) { if (alive()) onMessage(it) } } },
         )
@@ -207,6 +212,21 @@
         beat(i, run)
     }
 
+    private fun storeTransport(i: Int, alive: () -> Boolean): HttpTransport = recorded(
+        SimChannel.STATE,
+        names[i],
+        stateWire[i].line(alive) { m, t, b, answer -> state.serve(i, m, t, b, answer) },
+    )
+
+    /** [calls] of [sender], each of them told to the recorder first. */
+    private fun recorded(channel: SimChannel, sender: String, calls: HttpTransport): HttpTransport {
+        val to = recorder ?: return calls
+        return HttpTransport { method, path, body, timeoutMs, done ->
+            to.sent(loop.nowNs, channel, "$sender $method $path $timeoutMs", body ?: ByteArray(0))
+            calls.send(method, path, body, timeoutMs, done)
+        }
+    }
+
     private fun beat(i: Int, run: Int) {
         if (runs[i] != run) return
         if (frozen[i] == null) work(i, Work.TURN) { nodes[i]?.turn(waitingReports(i)) }
@@ -240,6 +260,7 @@
 
     private fun peer(from: Int, address: Address, m: PeerMessage, back: (PeerMessage) -> Unit) {
         val to = address.host.substringAfterLast('.').toInt() - 1
+        recorder?.sent(loop.nowNs, SimChannel.PEER, "${names[from]} ${names[to]}", PeerFrames.encode(m))
         loop.after(2 * SimLoop.MS) {
             if (!workerWire[from].cut &&
                 !workerWire[to].cut &&
@@ -285,6 +306,7 @@
         done: (Response?) -> Unit,
     ) {
         val sentNs = loop.nowNs
+        recorder?.sent(sentNs, SimChannel.REQUEST, "${names[i]} $method $path", body)
         val line = wire.line({ true }) { m, p, b, answer ->
             val kind = if (p == "/hello") Work.REPORT else Work.USER
             if (!processors[i].takes(kind)) return@line answer(Response(503, ByteArray(0)))
@@ -294,9 +316,17 @@
                     handle(
                         Command.Http(
                             // What its sender has given up on is dropped, as when its connection has gone.
-                            Request(m, p, "", b, { loop.nowNs - sentNs < timeoutMs * SimLoop.MS }) { status, out, _ ->
+                            Request(m, p, "", b, {
+                                loop.nowNs - sentNs < timeoutMs * SimLoop.MS
+                            }) { status, out, retryAfterS ->
                                 // On a kept connection a second answer would be taken for the next request's.
                                 if (++answers > 1) rules.broken += "$m $p answered $answers times, at ${loop.nowS}"
+                                recorder?.sent(
+                                    loop.nowNs,
+                                    SimChannel.ANSWER,
+                                    "${names[i]} $m $p $status $retryAfterS",
+                                    out.bytes,
+                                )
                                 answer(Response(status, out.bytes))
                             },
                         ),
