--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -10,8 +10,8 @@
 import flaxfield.jobs.JobRequestHandler
 import flaxfield.jobs.StallMonitor
 import flaxfield.jobs.TaskEventCommitter
-import flaxfield.members.Member
-import flaxfield.members.MembershipManager
+import flaxfield.membership.Member
+import flaxfield.membership.MembershipManager
 import flaxfield.net.Body
 import flaxfield.net.HttpTransport
 import flaxfield.net.Request
--- a/src/main/kotlin/flaxfield/controller/ControllerContext.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerContext.kt
@@ -1,7 +1,7 @@
 package flaxfield.controller
 
-import flaxfield.members.Member
-import flaxfield.members.ShardOwnership
+import flaxfield.membership.Member
+import flaxfield.membership.ShardOwnership
 import flaxfield.settings.OperatorSettings
 import flaxfield.settings.Settings
 import flaxfield.store.ClusterView
--- a/src/main/kotlin/flaxfield/controller/Leadership.kt
+++ b/src/main/kotlin/flaxfield/controller/Leadership.kt
@@ -1,6 +1,6 @@
 package flaxfield.controller
 
-import flaxfield.members.Member
+import flaxfield.membership.Member
 import flaxfield.store.ClusterView
 
 /** Whether this process is a member of the cluster and its leader, as far as its view and its own lease tell. */
--- a/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
@@ -4,7 +4,7 @@
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachineType
 import flaxfield.jobs.Job
-import flaxfield.members.ShardAssignment
+import flaxfield.membership.ShardAssignment
 import flaxfield.store.StoreKeys
 import flaxfield.zones.AbandonOrder
 import flaxfield.zones.ZoneRecord
--- a/src/main/kotlin/flaxfield/members/Members.kt
+++ b/src/main/kotlin/flaxfield/membership/Members.kt
@@ -1,4 +1,4 @@
-package flaxfield.members
+package flaxfield.membership
 
 import flaxfield.codec.FieldMap
 
--- a/src/main/kotlin/flaxfield/members/MembershipManager.kt
+++ b/src/main/kotlin/flaxfield/membership/MembershipManager.kt
@@ -1,4 +1,4 @@
-package flaxfield.members
+package flaxfield.membership
 
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_MILLI
@@ -122,7 +122,7 @@
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("flaxfield.members")
+        val log = LoggerFactory.getLogger("flaxfield.membership")
 
         /** A member is given up after this share of a worker's lease: two takeovers fit into one lease. */
         const val TTL_SHARE = 0.3
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -14,9 +14,9 @@
 import flaxfield.jobs.JobCodec
 import flaxfield.jobs.Placement
 import flaxfield.jobs.Resources
-import flaxfield.members.Member
-import flaxfield.members.MemberCodec
-import flaxfield.members.ShardAssignment
+import flaxfield.membership.Member
+import flaxfield.membership.MemberCodec
+import flaxfield.membership.ShardAssignment
 import flaxfield.quota.JobOrder
 import flaxfield.quota.TeamUsage
 import flaxfield.settings.Team
--- a/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
@@ -8,8 +8,8 @@
 import flaxfield.fleet.MachinePhase
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobKind
-import flaxfield.members.Member
-import flaxfield.members.ShardAssignment
+import flaxfield.membership.Member
+import flaxfield.membership.ShardAssignment
 import kotlinx.collections.immutable.persistentHashMapOf
 import kotlinx.collections.immutable.toPersistentHashMap
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/flaxfield/fleet/FleetDemandTest.kt
+++ b/src/test/kotlin/flaxfield/fleet/FleetDemandTest.kt
@@ -9,7 +9,7 @@
 import flaxfield.jobs.JobKind
 import flaxfield.jobs.Priority
 import flaxfield.jobs.Resources
-import flaxfield.members.Member
+import flaxfield.membership.Member
 import flaxfield.net.HttpTransport
 import flaxfield.settings.OperatorSettings
 import flaxfield.store.ClusterView
--- a/src/test/kotlin/flaxfield/jobs/FinishedJobLookupTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/FinishedJobLookupTest.kt
@@ -4,7 +4,7 @@
 import flaxfield.codec.Cbor
 import flaxfield.controller.Clock
 import flaxfield.controller.ControllerContext
-import flaxfield.members.Member
+import flaxfield.membership.Member
 import flaxfield.net.HttpTransport
 import flaxfield.net.Response
 import flaxfield.settings.OperatorSettings
--- a/src/test/kotlin/flaxfield/members/MemberRulesTest.kt
+++ b/src/test/kotlin/flaxfield/membership/MemberRulesTest.kt
@@ -1,4 +1,4 @@
-package flaxfield.members
+package flaxfield.membership
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
--- a/src/test/kotlin/flaxfield/store/StoreTest.kt
+++ b/src/test/kotlin/flaxfield/store/StoreTest.kt
@@ -14,8 +14,8 @@
 import flaxfield.jobs.JobCodec
 import flaxfield.jobs.JobKind
 import flaxfield.jobs.Resources
-import flaxfield.members.Member
-import flaxfield.members.MemberCodec
+import flaxfield.membership.Member
+import flaxfield.membership.MemberCodec
 import flaxfield.settings.StateLimits
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
--- a/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
@@ -5,8 +5,8 @@
 import flaxfield.controller.Clock
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.TaskEventCommitter
-import flaxfield.members.Member
-import flaxfield.members.MemberCodec
+import flaxfield.membership.Member
+import flaxfield.membership.MemberCodec
 import flaxfield.net.HttpTransport
 import flaxfield.peers.PeerConnection
 import flaxfield.peers.PeerGateway
--- a/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
+++ b/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
@@ -8,8 +8,8 @@
 import flaxfield.fleet.FleetCodec
 import flaxfield.jobs.JobCodec
 import flaxfield.jobs.TaskEvent
-import flaxfield.members.Member
-import flaxfield.members.MemberCodec
+import flaxfield.membership.Member
+import flaxfield.membership.MemberCodec
 import flaxfield.net.HttpTransport
 import flaxfield.settings.OperatorSettings
 import flaxfield.store.ClusterView
