--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -26,7 +26,7 @@
 
     /** Where the leader claims a machine for a more urgent gang, tasks make way as far as the rules allow. */
     private fun evict(term: ULong) {
-        val claimed = context.view.claimed.mapNotNull { context.view.machines[it] }
+        val claimed = context.view.reservedMachines.mapNotNull { context.view.machines[it] }
             .filter { context.shards.owns(it) && context.view.activeReservation(it)?.evict ?: false }
         if (claimed.isEmpty()) return
         val use = context.scheduling.teamUsage()
--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -22,7 +22,7 @@
 import flaxfield.settings.Address
 import flaxfield.settings.OperatorSettings
 import flaxfield.settings.Settings
-import flaxfield.store.ClusterView
+import flaxfield.store.ClusterReplica
 import flaxfield.store.StoreClient
 import flaxfield.workers.DirectCommandSender
 import flaxfield.workers.HaltDispatcher
@@ -68,13 +68,14 @@
     subsystem: SubsystemFactory? = null,
     post: (() -> Unit) -> Unit,
 ) {
+    private val replica = ClusterReplica()
     private val context = ControllerContext(
         settings,
         operator,
         Member(settings.nodeName, incarnation, settings.zone),
         clock,
         StoreClient(transports.state, transports.watch, STORE_TIMEOUT_MS),
-        ClusterView(),
+        replica.view,
         post,
     )
     private val zones = if (operator.zoneRecovery || subsystem != null) watchZones() else null
@@ -91,7 +92,7 @@
     private val jobs = JobRequestHandler(context, arrays::begin)
     private val fleet = FleetReconciler(context, CloudClient(transports.cloud, CLOUD_TIMEOUT_MS), taskEvents)
     private val stalls = StallMonitor(context, taskEvents)
-    private val follower = StoreReflector(context, jobs, workerHealth)
+    private val follower = StoreReflector(context, replica, jobs, workerHealth)
     private val subsystem = subsystem?.create(SubsystemParts(context, workerHealth))?.also { context.subsystem = it }
 
     private val decisions =
--- a/src/main/kotlin/flaxfield/controller/ControllerContext.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerContext.kt
@@ -17,7 +17,7 @@
     val self: Member,
     val clock: Clock,
     val store: StoreClient,
-    /** The in-memory copy of the store's live records; only [StoreReflector] changes it. */
+    /** The in-memory copy of the store's live records; only [StoreReflector] updates it. */
     val view: ClusterView,
     /** Hands work to the owner thread; safe from any thread. */
     val post: (() -> Unit) -> Unit,
--- a/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
+++ b/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
@@ -57,7 +57,7 @@
     }
 
     /** What the teams use now; the caller may add to its copy. */
-    fun teamUsage(): TeamUsage = view.use(settings.teams)
+    fun teamUsage(): TeamUsage = view.usage(settings.teams)
 
     /** The ids of the jobs within their team's guarantee now. */
     fun guaranteed(): Set<String> = view.guaranteed(settings.teams)
--- a/src/main/kotlin/flaxfield/controller/StoreReflector.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreReflector.kt
@@ -3,6 +3,7 @@
 import flaxfield.NANOS_PER_MILLI
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.jobs.JobRequestHandler
+import flaxfield.store.ClusterReplica
 import flaxfield.store.ReadResult
 import flaxfield.store.StoreKeys
 import flaxfield.store.WatchResult
@@ -13,6 +14,7 @@
 /** Keeps the view: a paged read first, then one watch after another over the same prefix. */
 class StoreReflector(
     private val context: ControllerContext,
+    private val replica: ClusterReplica,
     private val jobs: JobRequestHandler,
     private val workerHealth: WorkerHealth,
 ) {
@@ -35,7 +37,7 @@
         listing = true
         complete = false
         listFrom = null
-        context.view.clear()
+        replica.clear()
         context.viewFreshness.forget()
         page(null)
     }
@@ -54,7 +56,7 @@
                         listFrom = page.revision
                         context.viewFreshness.read(sentNs, page.revision)
                     }
-                    for (i in page.items) context.view.apply(i)
+                    for (i in page.items) replica.apply(i)
                     if (page.more && page.items.isNotEmpty()) page(page.items.last().key) else listed(page.revision)
                 }
             }
@@ -73,7 +75,7 @@
         if (first == last) {
             moved(last)
         } else {
-            context.view.advance(first)
+            replica.advance(first)
             context.viewFreshness.reached(first)
         }
         log.info(
@@ -136,7 +138,7 @@
             is WatchResult.Changes -> {
                 context.storeContact.noteResponse()
                 for (i in w.items) {
-                    context.view.apply(i)
+                    replica.apply(i)
                     if (i.value == null &&
                         i.key.startsWith(StoreKeys.MACHINE)
                     ) {
@@ -156,7 +158,7 @@
     }
 
     private fun moved(revision: ULong) {
-        context.view.advance(revision)
+        replica.advance(revision)
         context.viewFreshness.reached(context.view.revision)
         hasSynced = true
         context.decisions.request()
--- a/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
@@ -89,7 +89,7 @@
             return
         }
         if (context.view.machineTypes.isNotEmpty() &&
-            context.nowMs - context.view.flavorsAtMs < FLAVORS_S * MILLIS_PER_SECOND
+            context.nowMs - context.view.machineTypesWrittenMs < FLAVORS_S * MILLIS_PER_SECOND
         ) {
             return
         }
--- a/src/main/kotlin/flaxfield/gangs/GangScheduler.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangScheduler.kt
@@ -70,7 +70,7 @@
     /** The machines that carry a valid claim, by the gang that it is for. */
     private fun claimsByGang(): Map<String, List<Machine>> {
         val view = context.view
-        return view.claimed.mapNotNull {
+        return view.reservedMachines.mapNotNull {
             view.machines[it]
         }.filter { view.activeReservation(it) != null }.groupBy { it.reservation?.job.orEmpty() }
     }
--- /dev/null
+++ b/src/main/kotlin/flaxfield/store/MachineRecords.kt
@@ -0,0 +1,31 @@
+package flaxfield.store
+
+import flaxfield.codec.FieldMap
+import flaxfield.fleet.FleetCodec
+import flaxfield.fleet.Machine
+
+/** The machines of the view, and which of them carry a reservation. Owned by the owner thread. */
+internal class MachineRecords {
+    /** Grows with each change of a machine. */
+    var version = 0L
+        private set
+
+    /** The machines by name. */
+    val byName = HashMap<String, Machine>()
+
+    /** The names of the machines that carry a reservation, valid or void. */
+    val reserved = HashSet<String>()
+
+    fun clear() {
+        byName.clear()
+        reserved.clear()
+        version++
+    }
+
+    /** Takes in the record of machine [name], stored under [key]; a null [value] says that it was deleted. */
+    fun set(name: String, key: String, value: FieldMap?, keyVersion: ULong) {
+        version++
+        if (value == null) byName.remove(name) else byName[name] = FleetCodec.machine(value, key, keyVersion)
+        if (byName[name]?.reservation != null) reserved += name else reserved -= name
+    }
+}
--- a/src/test/kotlin/flaxfield/fleet/FleetDemandTest.kt
+++ b/src/test/kotlin/flaxfield/fleet/FleetDemandTest.kt
@@ -12,7 +12,7 @@
 import flaxfield.membership.Member
 import flaxfield.net.HttpTransport
 import flaxfield.settings.OperatorSettings
-import flaxfield.store.ClusterView
+import flaxfield.store.ClusterReplica
 import flaxfield.store.KeyUpdate
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
@@ -45,15 +45,17 @@
                 it.name
             },
         )
-        val view = ClusterView()
+        val replica = ClusterReplica()
         for (job in jobs) {
-            view.apply(
+            replica.apply(
                 KeyUpdate(StoreKeys.JOB + job.id, Cbor.decode(Cbor.encode(JobCodec.encodeHead(job))), 1uL),
             )
         }
         val store = StoreClient(silence, silence, 1)
         val context =
-            ControllerContext(settings, OperatorSettings(), Member("n-0", "r", "a"), clock, store, view) { it() }
+            ControllerContext(settings, OperatorSettings(), Member("n-0", "r", "a"), clock, store, replica.view) {
+                it()
+            }
         return FleetDemand(context).demands().map { it.spec.id }
     }
 
--- a/src/test/kotlin/flaxfield/jobs/FinishedJobLookupTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/FinishedJobLookupTest.kt
@@ -8,7 +8,7 @@
 import flaxfield.net.HttpTransport
 import flaxfield.net.Response
 import flaxfield.settings.OperatorSettings
-import flaxfield.store.ClusterView
+import flaxfield.store.ClusterReplica
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -59,7 +59,7 @@
             Member("n-0", "r", "a"),
             clock,
             StoreClient(state, state, 1),
-            ClusterView(),
+            ClusterReplica().view,
         ) {
             it()
         }
--- a/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
+++ b/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
@@ -12,7 +12,7 @@
 import flaxfield.membership.MemberCodec
 import flaxfield.net.HttpTransport
 import flaxfield.settings.OperatorSettings
-import flaxfield.store.ClusterView
+import flaxfield.store.ClusterReplica
 import flaxfield.store.KeyUpdate
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
@@ -27,7 +27,7 @@
         override fun dayMs() = (nowS * 1e3).toLong()
     }
     private val self = Member("n-0", "run1", "a")
-    private val view = ClusterView()
+    private val replica = ClusterReplica()
     private val silence = HttpTransport { _, _, _, _, _ -> }
     private val watch =
         WorkerHealth(
@@ -37,14 +37,14 @@
                 self,
                 clock,
                 StoreClient(silence, silence, 1),
-                view,
+                replica.view,
             ) {
                 it()
             },
         )
 
     private fun put(key: String, value: Map<String, Any?>, version: ULong) =
-        view.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), version))
+        replica.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), version))
 
     private fun heartbeat(machineName: String) {
         val workerState = watch.workerState(machineName)
--- a/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
@@ -15,7 +15,7 @@
 import flaxfield.membership.Member
 import flaxfield.net.HttpTransport
 import flaxfield.settings.OperatorSettings
-import flaxfield.store.ClusterView
+import flaxfield.store.ClusterReplica
 import flaxfield.store.KeyUpdate
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
@@ -52,9 +52,9 @@
                 it.name
             },
         )
-        val view = ClusterView()
+        val replica = ClusterReplica()
         fun put(key: String, value: Map<String, Any?>) =
-            view.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), 1uL))
+            replica.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), 1uL))
         for (n in 0 until 12) {
             put(
                 StoreKeys.MACHINE + "host-$n",
@@ -79,7 +79,7 @@
                 Member("n-0", "r", "a"),
                 clock,
                 StoreClient(silence, silence, 1),
-                view,
+                replica.view,
             ) {
                 it()
             }
