--- a/src/main/kotlin/flaxfield/controller/StoreReflector.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreReflector.kt
@@ -129,7 +129,7 @@
     private fun watched(w: WatchResult, sentNs: Long) {
         val startNs = System.nanoTime()
         take(w, sentNs)
-        context.stats.spent("view", System.nanoTime() - startNs)
+        context.stats.addDutyTime("view", System.nanoTime() - startNs)
     }
 
     private fun take(w: WatchResult, sentNs: Long) {
--- a/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
+++ b/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
@@ -69,7 +69,7 @@
             return false
         }
         if (!budget.take(cause, transaction.changes.size, clock.steadyNs())) return false
-        stats.written(cause, transaction.changes.size)
+        stats.addChanges(cause, transaction.changes.size)
         for (change in transaction.changes) pending[change.key] = null
         store.txn(transaction) { outcome ->
             post {
@@ -97,7 +97,7 @@
             // Whatever comes of it, its conditions hold it to the versions we knew: deciding again is safe.
             is TransactionOutcome.Refused, is TransactionOutcome.Unknown -> null
         }
-        stats.outcome(outcome)
+        stats.addOutcome(outcome)
         if (until != null) contact.noteResponse()
         for (change in transaction.changes) {
             if (until == null || until <= view.revision) pending.remove(change.key) else pending[change.key] = until
