--- /dev/null
+++ b/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
@@ -0,0 +1,114 @@
+package flaxfield.arrays
+
+import flaxfield.MILLIS_PER_SECOND
+import flaxfield.NANOS_PER_SECOND
+import flaxfield.controller.ControllerContext
+import flaxfield.fleet.FleetRules
+import flaxfield.fleet.Machine
+import flaxfield.jobs.Job
+import flaxfield.jobs.Resources
+import flaxfield.store.StoreKeys
+import flaxfield.workers.HeartbeatReconciler
+import flaxfield.workers.WorkerHealth
+
+/** Which machines of this controller's shard take array tasks now, and which of them suit a job. */
+class ArrayCandidates(
+    private val context: ControllerContext,
+    private val workerHealth: WorkerHealth,
+    private val inFlight: InFlightPlacements,
+) {
+    /** Whether the cluster had any spot machine when candidates were last listed. */
+    private var hasSpotMachines = false
+    private var claimedTypes: Set<String> = emptySet()
+    private var nextClaimedTypesNs = 0L
+
+    /** Our open machines with at least [minimum] free, less what placements in flight have taken. */
+    fun list(minimum: Resources): List<PlacementCandidate> {
+        hasSpotMachines = context.view.machines.values.any { it.preemptible }
+        val candidates = context.shards.ownedMachines().mapNotNull { candidate(it, minimum) }
+        inFlight.assumeOn(candidates)
+        return candidates
+    }
+
+    private fun candidate(machine: Machine, minimum: Resources): PlacementCandidate? {
+        val view = context.view
+        val free = view.free(machine)?.takeIf { it.canHold(minimum) } ?: return null
+        if (!isOpen(machine)) return null
+        val workerState = workerHealth.workerState(machine.name)
+        val heartbeat = workerState.heartbeat ?: return null
+        val taskSlots = HeartbeatReconciler.MAX_TASKS - view.tasksOn(machine.name)
+        if (taskSlots <= 0) return null
+        return PlacementCandidate(
+            machine,
+            heartbeat.incarnation,
+            free,
+            workerState.images.keys,
+            view.isEmpty(machine.name),
+            taskSlots,
+        )
+    }
+
+    private fun isOpen(machine: Machine): Boolean = machine.takesWork &&
+        context.zones?.acceptsPlacements(machine) != false &&
+        context.view.activeReservation(machine) == null &&
+        !context.transactions.isWritePending(StoreKeys.MACHINE + machine.name) &&
+        workerHealth.state(machine.name) == MachineHealth.OK
+
+    /** Those of [candidates] that a task of [job] may be placed on now. */
+    fun eligible(job: Job, candidates: List<PlacementCandidate>): List<PlacementCandidate> =
+        candidates.filter { it.free.canHold(job.spec.taskResources) && isSuitable(job, it) }
+
+    /** Whether [job] may use a machine of the candidate's kind beside the jobs that such machines are reserved for. */
+    fun isSuitable(job: Job, candidate: PlacementCandidate): Boolean {
+        val machine = candidate.machine
+        val reservations = context.scheduling.reservations
+        if (!reservations.isUnreservedFor(job.spec, machine.machineType, machine.preemptible)) {
+            return context.scheduling.isStarved(job) ||
+                reservations.mayBackfill(job.spec, machine.machineType, machine.preemptible) &&
+                machine.machineType !in typesClaimedByGangs()
+        }
+        return machine.preemptible || !job.spec.preemptible || mayUseOnDemand(job)
+    }
+
+    /**
+     * Whether [job], which spot machines would do for, may use an on-demand one. Work of a class without an objective
+     * otherwise keeps on-demand machines in use that were scaled out for a burst.
+     */
+    private fun mayUseOnDemand(job: Job): Boolean = !hasSpotMachines ||
+        context.scheduling.hasObjective(job.spec.jobClass) ||
+        context.scheduling.isStarved(job) ||
+        FleetRules.pressesWithoutAim(
+            (context.nowMs - job.submittedMs) / MILLIS_PER_SECOND,
+            begun = job.placedCount + job.doneCount > 0,
+        )
+
+    /** Machine types of which waiting gangs will take every on-demand machine; counted anew now and then. */
+    private fun typesClaimedByGangs(): Set<String> {
+        if (context.nowNs < nextClaimedTypesNs) return claimedTypes
+        nextClaimedTypesNs =
+            context.nowNs +
+            (context.settings.workers.heartbeatIntervalS * CLAIMED_TYPES_HEARTBEATS * NANOS_PER_SECOND).toLong()
+        claimedTypes = if (context.scheduling.reservations.hasWaitingGangs) countTypesClaimedByGangs() else emptySet()
+        return claimedTypes
+    }
+
+    private fun countTypesClaimedByGangs(): Set<String> {
+        val view = context.view
+        val openMachines = HashMap<String, Int>()
+        for (machine in view.machines.values) {
+            val isHealthyOnDemand = !machine.preemptible &&
+                machine.takesWork &&
+                view.machineStatus(machine.name)?.state == MachineHealth.OK
+            if (!isHealthyOnDemand) continue
+            if (view.jobsOn(machine.name).none { it.isGang }) openMachines.merge(machine.machineType, 1, Int::plus)
+        }
+        return view.machineTypes.keys.filterTo(HashSet()) {
+            context.scheduling.reservations.isClaimedByWaitingGangs(it, openMachines[it] ?: 0)
+        }
+    }
+
+    private companion object {
+        /** How often waiting gangs are counted against on-demand machines, in heartbeat intervals. */
+        const val CLAIMED_TYPES_HEARTBEATS = 0.1
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/flaxfield/arrays/ArrayPlacement.kt
@@ -0,0 +1,57 @@
+package flaxfield.arrays
+
+import flaxfield.jobs.Job
+import flaxfield.jobs.JobSpec
+
+/** Pure: which machines of a shard take which tasks of an array. */
+object ArrayPlacement {
+    /** What one transaction holds: tasks, machines, and chunks of the job's records. */
+    data class Limits(val tasks: Int, val machines: Int = Int.MAX_VALUE, val chunks: Int = Int.MAX_VALUE)
+
+    /**
+     * Places pending tasks of [job], starting with task [from], within [limits] and in the chunks that are [open], and
+     * takes their resources from the candidates. Returns the candidates by task index.
+     */
+    fun place(
+        job: Job,
+        candidates: List<PlacementCandidate>,
+        topology: TopologyConstraint,
+        from: Int,
+        limits: Limits,
+        open: (Int) -> Boolean = { true },
+    ): Map<Int, PlacementCandidate> {
+        if (limits.tasks <= 0) return emptyMap()
+        val spec = job.spec
+        val eligible = candidates.filter { it.fits(job) }.sortedWith(binPackingOrder(spec)).take(limits.machines)
+        if (eligible.isEmpty()) return emptyMap()
+        val placed = LinkedHashMap<Int, PlacementCandidate>()
+        val chunks = HashSet<Int>()
+        val tasks = job.pending(from) { open(it) && (chunks.size < limits.chunks || it in chunks) }.iterator()
+        for (candidate in eligible) {
+            while (placed.size < limits.tasks && holdsOneMore(candidate, spec, topology)) {
+                if (!tasks.hasNext()) return placed
+                val task = tasks.next()
+                chunks += task / job.chunkTasks
+                placed[task] = candidate
+                candidate.free -= spec.taskResources
+                candidate.taskSlots--
+                topology.add(candidate.machine.zone)
+            }
+        }
+        return placed
+    }
+
+    private fun holdsOneMore(candidate: PlacementCandidate, spec: JobSpec, topology: TopologyConstraint): Boolean =
+        candidate.taskSlots > 0 &&
+            candidate.free.canHold(spec.taskResources) &&
+            topology.allows(candidate.machine.zone)
+
+    /** Spot machines first where the job may use them, then machines with its image, then the fullest. */
+    private fun binPackingOrder(spec: JobSpec) = compareBy<PlacementCandidate> {
+        if (spec.preemptible && !it.machine.preemptible) 1 else 0
+    }
+        .thenBy { if (spec.image in it.images) 0 else 1 }
+        .thenBy { it.free.gpus }
+        .thenBy { it.free.cpus }
+        .thenBy { it.machine.name }
+}
--- /dev/null
+++ b/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
@@ -0,0 +1,154 @@
+package flaxfield.arrays
+
+import flaxfield.controller.ControllerContext
+import flaxfield.jobs.Job
+import flaxfield.jobs.JobAdmission
+import flaxfield.jobs.TaskEventCommitter
+import flaxfield.quota.TeamUsage
+import flaxfield.settings.Team
+import flaxfield.store.Change
+import flaxfield.store.StoreKeys
+import flaxfield.store.Transaction
+import flaxfield.store.TransactionOutcome
+import flaxfield.store.WriteCause
+import org.slf4j.LoggerFactory
+
+/** Places as many of an array's pending tasks as fit now, with one transaction. */
+class ArrayTaskPlacer(
+    private val context: ControllerContext,
+    private val inFlight: InFlightPlacements,
+    private val turns: ShardTurns,
+) {
+    /**
+     * Sends a placement of [job] on [candidates] and adds it to [usage]. Returns how many tasks it is of, those that
+     * must wait for the write budget included.
+     */
+    fun place(job: Job, candidates: List<PlacementCandidate>, usage: TeamUsage, term: ULong): Int {
+        val team = context.settings.teams[job.spec.team] ?: return 0
+        if (team.limited && context.transactions.isWritePending(StoreKeys.QUOTA_FENCE + team.name)) return 0
+        val placement = findPlacement(job, candidates, usage)
+        if (placement.isEmpty()) return 0
+        usage.add(team.name, job.spec.taskResources * placement.size)
+        val isFewTasks = placement.size < minOf(TaskEventCommitter.FEW, job.pendingCount)
+        val cause = if (isFewTasks) WriteCause.TRICKLE else WriteCause.ARRAY
+        if (context.transactions.mayWrite(cause, if (team.limited) 2 else 1)) {
+            send(job, placement, team, cause, term)
+        } else {
+            log.debug("event=placement_deferred job={} reason=write_budget", job.id)
+        }
+        return placement.size
+    }
+
+    private fun findPlacement(
+        job: Job,
+        candidates: List<PlacementCandidate>,
+        usage: TeamUsage,
+    ): Map<Int, PlacementCandidate> {
+        val tasks = minOf(
+            context.scheduling.admissibleTasks(job, usage),
+            MAX_TASKS_PER_PLACEMENT,
+            maxConcurrentTasks(job) - job.placedCount,
+        )
+        val limits = ArrayPlacement.Limits(
+            tasks,
+            MAX_MACHINES_PER_PLACEMENT,
+            TaskEventCommitter.chunksAtOnce(context.settings.stateLimits),
+        )
+        val topology = TopologyConstraint(job.spec, placedZones(job))
+        return ArrayPlacement.place(job, candidates, topology, turns.firstTask(job), limits) {
+            !context.transactions.isWritePending(StoreKeys.chunk(job.id, it))
+        }
+    }
+
+    private fun placedZones(job: Job): List<String> {
+        if (!job.spec.sameZone && !job.spec.spreadAcrossZones) return emptyList()
+        return job.allPlaced().map { context.view.machines[it.machineName]?.zone.orEmpty() }.toList()
+    }
+
+    private fun maxConcurrentTasks(job: Job): Int = if (job.isSuspect) {
+        MAX_SUSPECT_TASKS
+    } else {
+        ShortTaskPolicy.maxConcurrentTasks(
+            job.spec,
+            bootTimeS(job),
+            context.settings.workers.heartbeatIntervalS,
+        )
+    }
+
+    /** How soon a machine for [job] is up once it is requested from the cloud. */
+    private fun bootTimeS(job: Job): Double = context.view.machineTypes.values
+        .filter { JobAdmission.allowed(job.spec, it) }
+        .minOfOrNull { it.bootTimeS } ?: 0.0
+
+    private fun send(job: Job, placement: Map<Int, PlacementCandidate>, team: Team, cause: WriteCause, term: ULong) {
+        val next = job.place(placement.mapValues { (_, candidate) -> candidate.target() })
+        val base = TaskEventCommitter.write(job, next, term)
+        val transaction = withFences(base, job, placement, team)
+        val sent = context.transactions.submit(cause, transaction) { outcome ->
+            logOutcome(next, placement, term, outcome)
+        }
+        if (sent) {
+            inFlight.add(
+                job.id,
+                base.changes.map { it.key },
+                placement.values.map { it.machine.name },
+                job.spec.taskResources,
+            )
+        }
+    }
+
+    /** [base] on condition that the machines' records are unchanged, and the team's quota fence, which it bumps. */
+    private fun withFences(
+        base: Transaction,
+        job: Job,
+        placement: Map<Int, PlacementCandidate>,
+        team: Team,
+    ): Transaction {
+        val conditions = base.conditions + machineVersions(placement.values)
+        if (!team.limited) return Transaction(conditions, base.changes)
+        val fenceKey = StoreKeys.QUOTA_FENCE + team.name
+        return Transaction(
+            conditions + (fenceKey to context.view.version(fenceKey)),
+            base.changes + Change.Put(fenceKey, mapOf("job" to job.id)),
+        )
+    }
+
+    private fun logOutcome(
+        next: Job,
+        placement: Map<Int, PlacementCandidate>,
+        term: ULong,
+        outcome: TransactionOutcome,
+    ) {
+        if (outcome !is TransactionOutcome.Committed) {
+            log.debug("event=placement_failed job={} term={} outcome={}", next.id, term, outcome)
+            return
+        }
+        for ((task, candidate) in placement) {
+            log.info(
+                "event=task_placed job={} task={} attempt={} machine={} term={}",
+                next.id,
+                task,
+                next.placed(task)?.attempt,
+                candidate.machine.name,
+                term,
+            )
+        }
+    }
+
+    private companion object {
+        val log = LoggerFactory.getLogger("flaxfield.arrays")
+
+        /** Bounds the work of one decision; the rest follows in the next one. */
+        const val MAX_TASKS_PER_PLACEMENT = 256
+
+        /** Each machine is a condition of the transaction, which may have four times as many of these as changes. */
+        const val MAX_MACHINES_PER_PLACEMENT = 64
+
+        /** A job that repeatedly fails is tried with so many tasks at a time, not with the whole array each time. */
+        const val MAX_SUSPECT_TASKS = 2
+    }
+}
+
+/** The conditions that the candidates' machine records are as the view has them. */
+internal fun machineVersions(candidates: Collection<PlacementCandidate>): Map<String, ULong> =
+    candidates.distinct().associate { StoreKeys.MACHINE + it.machine.name to it.machine.version }
--- /dev/null
+++ b/src/main/kotlin/flaxfield/arrays/InitialPlacement.kt
@@ -0,0 +1,44 @@
+package flaxfield.arrays
+
+import flaxfield.controller.ControllerContext
+import flaxfield.jobs.Job
+import flaxfield.jobs.TaskEventCommitter
+import flaxfield.store.StoreKeys
+
+/** A job as it is submitted, with its tasks placed, and the conditions that this rests on. */
+class InitialPlacement(val job: Job, val conditions: Map<String, ULong>)
+
+/** Places small arrays while they are being submitted, so that one transaction accepts and places the job. */
+class InitialPlacer(
+    private val context: ControllerContext,
+    private val arrayCandidates: ArrayCandidates,
+    private val inFlight: InFlightPlacements,
+) {
+    /**
+     * The placement of all tasks of [job], or null if it must wait: because no job that waits already, on whichever
+     * shard, may be overtaken, or because it is too large, does not fit, or is bound by its team's quota.
+     */
+    fun place(job: Job): InitialPlacement? {
+        val term = context.leadership.term() ?: return null
+        if (job.isGang || job.spec.taskCount > MAX_TASKS || isQuotaLimited(context, job)) return null
+        if (!context.leadership.mayAct()) return null
+        val usage = context.scheduling.teamUsage()
+        val ordered = context.scheduling.schedulingOrder(pendingArrays(context) + job, usage)
+        if (ordered.first() !== job) return null
+        val eligible = arrayCandidates.eligible(job, arrayCandidates.list(job.spec.taskResources))
+        val limits = ArrayPlacement.Limits(context.scheduling.admissibleTasks(job, usage))
+        val topology = TopologyConstraint(job.spec, emptyList())
+        val placement = ArrayPlacement.place(job, eligible, topology, from = 0, limits)
+        if (placement.size < job.spec.taskCount) return null
+        val placed = job.place(placement.mapValues { (_, candidate) -> candidate.target() })
+        val machineNames = placement.values.map { it.machine.name }
+        inFlight.add(job.id, listOf(StoreKeys.JOB + job.id), machineNames, job.spec.taskResources)
+        val conditions = TaskEventCommitter.write(job, placed, term).conditions + machineVersions(placement.values)
+        return InitialPlacement(placed, conditions)
+    }
+
+    private companion object {
+        /** A job of at most so many tasks may be placed by the transaction that accepts it. */
+        const val MAX_TASKS = 4
+    }
+}
--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -1,69 +1,90 @@
 package flaxfield.arrays
 
 import flaxfield.controller.ControllerContext
+import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
+import flaxfield.jobs.Job
 import flaxfield.quota.JobOrder
+import flaxfield.quota.TeamUsage
 import flaxfield.store.PlacedTask
 import flaxfield.workers.HaltDispatcher
 
-/** Clears machines of this node's part: those that are to be returned, and those claimed for more urgent gangs. */
-class MachineDrainer(private val context: ControllerContext, private val stops: HaltDispatcher) {
+/**
+ * Evicts arrays from machines of this controller's shard: from those that are to be returned, and from those that the
+ * leader has reserved for gangs that may preempt.
+ */
+class MachineDrainer(private val context: ControllerContext, private val halts: HaltDispatcher) {
+    /** Sends the halts that are due under [term]. */
     fun run(term: ULong) {
-        drain(term)
-        evict(term)
+        drainReturning(term)
+        evictForGangs(term)
     }
 
-    /** Machines that are no longer needed: what fills them goes on elsewhere. */
-    private fun drain(term: ULong) {
-        for (m in context.shards.ownedMachines()) {
-            if (m.phase != MachinePhase.DRAINING) continue
-            val on = context.view.on(m.name).filter { !it.placed.stopping && !it.job.isGang }
-            for ((id, list) in on.groupBy { it.job.id }) {
-                stops.stop(id, list.map { it.placed.index }, term, "${m.name} is to be returned")
-            }
+    private fun drainReturning(term: ULong) {
+        for (machine in context.shards.ownedMachines()) {
+            if (machine.phase != MachinePhase.DRAINING) continue
+            val tasks = context.view.on(machine.name).filter { !it.placed.stopping && !it.job.isGang }
+            halt(tasks, term, "${machine.name} is to be returned")
         }
     }
 
-    /** Where the leader claims a machine for a more urgent gang, tasks make way as far as the rules allow. */
-    private fun evict(term: ULong) {
-        val claimed = context.view.claimed.mapNotNull { context.view.machines[it] }
+    private fun evictForGangs(term: ULong) {
+        val reserved = context.view.claimed.mapNotNull { context.view.machines[it] }
             .filter { context.shards.owns(it) && context.view.activeReservation(it)?.evict ?: false }
-        if (claimed.isEmpty()) return
-        val use = context.scheduling.teamUsage()
+        if (reserved.isEmpty()) return
+        val usage = context.scheduling.teamUsage()
         val guaranteed = context.scheduling.guaranteed()
-        for (m in claimed) {
-            val reservation = m.reservation ?: continue
+        for (machine in reserved) {
+            val reservation = machine.reservation ?: continue
             val gang = context.view.jobs[reservation.job] ?: continue
-            var free = context.view.free(m) ?: continue
-            val want = gang.spec.taskResources * reservation.tasks
-            val on = context.view.on(m.name)
-            for (r in on) if (r.placed.stopping || r.job.cancelled) free += r.job.spec.taskResources
-            val victims = on.filter {
-                !it.placed.stopping && !it.job.isGang && JobOrder.mayPreempt(gang, gang.id in guaranteed, it.job, use)
-            }.sortedWith(EvictionOrder)
-            val chosen = ArrayList<Pair<String, Int>>()
-            for (v in victims) {
-                if (free.canHold(want)) break
-                free += v.job.spec.taskResources
-                chosen += v.job.id to v.placed.index
-            }
-            for ((id, tasks) in chosen.groupBy({ it.first }, { it.second })) {
-                stops.stop(id, tasks, term, "room for ${gang.id} on ${m.name}")
-            }
+            val victims = selectVictims(machine, gang, reservation.tasks, gang.id in guaranteed, usage)
+            halt(victims, term, "room for ${gang.id} on ${machine.name}")
+        }
+    }
+
+    /** The fewest tasks in [EvictionOrder] whose end lets [tasks] of [gang] fit, as far as it may preempt them. */
+    private fun selectVictims(
+        machine: Machine,
+        gang: Job,
+        tasks: Int,
+        isGuaranteed: Boolean,
+        usage: TeamUsage,
+    ): List<PlacedTask> {
+        var free = context.view.free(machine) ?: return emptyList()
+        val required = gang.spec.taskResources * tasks
+        val placedTasks = context.view.on(machine.name)
+        for (task in placedTasks) {
+            if (task.placed.stopping || task.job.cancelled) free += task.job.spec.taskResources
+        }
+        val preemptible = placedTasks.filter {
+            !it.placed.stopping && !it.job.isGang && JobOrder.mayPreempt(gang, isGuaranteed, it.job, usage)
+        }
+        val victims = ArrayList<PlacedTask>()
+        for (task in preemptible.sortedWith(EvictionOrder)) {
+            if (free.canHold(required)) break
+            free += task.job.spec.taskResources
+            victims += task
+        }
+        return victims
+    }
+
+    private fun halt(tasks: List<PlacedTask>, term: ULong, reason: String) {
+        for ((jobId, jobTasks) in tasks.groupBy { it.job.id }) {
+            halts.stop(jobId, jobTasks.map { it.placed.index }, term, reason)
         }
     }
 }
 
 /**
- * Which task makes way first: the least urgent, then one that saves its progress, then the latest. A task that never
- * saves began anew each time: an idle array of three such tasks was at work for six minutes beside arrays that would
- * have lost nothing.
+ * Which task is evicted first: of the lowest priority, then one that saves checkpoints, then of the latest job. A task
+ * without checkpoints starts anew after each eviction, while one with them loses little.
  */
 object EvictionOrder : Comparator<PlacedTask> {
-    private val order =
-        compareBy<PlacedTask>({
-            it.job.spec.priority
-        }, { it.job.spec.checkpointIntervalS <= 0.0 }, { -it.job.submittedMs })
+    private val order = compareBy<PlacedTask>(
+        { it.job.spec.priority },
+        { it.job.spec.checkpointIntervalS <= 0.0 },
+        { -it.job.submittedMs },
+    )
 
     override fun compare(a: PlacedTask, b: PlacedTask): Int = order.compare(a, b)
 }
--- /dev/null
+++ b/src/main/kotlin/flaxfield/arrays/TopologyConstraint.kt
@@ -0,0 +1,42 @@
+package flaxfield.arrays
+
+import flaxfield.fleet.Machine
+import flaxfield.jobs.JobSpec
+
+/**
+ * The zone rules of one job: a fixed zone, all tasks in one zone, or tasks spread over zones. [placedZones] are the
+ * zones of the tasks that are placed already, one entry a task; [add] keeps the count as more are placed.
+ */
+class TopologyConstraint(private val spec: JobSpec, placedZones: List<String>) {
+    private val tasksByZone = HashMap<String, Int>()
+    private val maxTasksInZone = (spec.taskCount + 1) / 2
+
+    init {
+        for (zone in placedZones) add(zone)
+    }
+
+    /** Whether one more task may go to [zone]. */
+    fun allows(zone: String): Boolean = when {
+        spec.zone != null && spec.zone != zone -> false
+        spec.sameZone && tasksByZone.keys.any { it != zone } -> false
+        spec.spreadAcrossZones && (tasksByZone[zone] ?: 0) >= maxTasksInZone -> false
+        else -> true
+    }
+
+    /** Counts one more task in [zone]. */
+    fun add(zone: String) {
+        tasksByZone.merge(zone, 1, Int::plus)
+    }
+
+    companion object {
+        /** Whether machines of this type, zone and kind may run tasks of [spec] at all. */
+        fun allowsMachineKind(spec: JobSpec, machineType: String, zone: String, preemptible: Boolean): Boolean =
+            (spec.machineTypes == null || machineType in spec.machineTypes) &&
+                (spec.zone == null || spec.zone == zone) &&
+                (!preemptible || spec.preemptible)
+
+        /** Whether [machine] may run tasks of [spec] at all, whatever is on it now. */
+        fun allowsMachine(spec: JobSpec, machine: Machine): Boolean =
+            allowsMachineKind(spec, machine.machineType, machine.zone, machine.preemptible)
+    }
+}
--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -88,7 +88,7 @@
     private val members = MembershipManager(context)
     private val gangs = GangScheduler(context)
     private val arrays = ArrayScheduler(context, workerHealth, stops)
-    private val jobs = JobRequestHandler(context, arrays::begin)
+    private val jobs = JobRequestHandler(context, arrays::placeOnSubmission)
     private val fleet = FleetReconciler(context, CloudClient(transports.cloud, CLOUD_TIMEOUT_MS), taskEvents)
     private val stalls = StallMonitor(context, taskEvents)
     private val follower = StoreReflector(context, jobs, workerHealth)
--- a/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
+++ b/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
@@ -35,7 +35,7 @@
         if (refreshedAtVersion == view.jobsVersion && nowNs < refreshAfterNs) return
         refreshedAtVersion = view.jobsVersion
         refreshAfterNs = nowNs + (settings.workers.heartbeatIntervalS * NANOS_PER_SECOND).toLong()
-        reservations.note(view.jobs.values, view.machineTypes.values, clock.dayMs(), RESERVED_MS)
+        reservations.update(view.jobs.values, view.machineTypes.values, clock.dayMs(), RESERVED_MS)
         starvation.note(view.jobs.values, clock.dayMs())
     }
 
@@ -50,10 +50,10 @@
     fun admissibleTasks(job: Job, usage: TeamUsage): Int {
         val team = job.spec.team
         val request = job.spec.taskResources
-        if (job.isGang) return usage.allows(team, request)
-        if (!isStarved(job)) return usage.allows(team, request, reservations.ofLimit(team))
-        val besideGangs = usage.allows(team, request, reservations.ofWaiting(team, job.submittedMs))
-        return maxOf(besideGangs, minOf(1, usage.allows(team, request)))
+        if (job.isGang) return usage.remainingTasks(team, request)
+        if (!isStarved(job)) return usage.remainingTasks(team, request, reservations.reservedQuota(team))
+        val besideGangs = usage.remainingTasks(team, request, reservations.waitingGangQuota(team, job.submittedMs))
+        return maxOf(besideGangs, minOf(1, usage.remainingTasks(team, request)))
     }
 
     /** What the teams use now; the caller may add to its copy. */
--- a/src/main/kotlin/flaxfield/fleet/FleetDemand.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetDemand.kt
@@ -37,7 +37,7 @@
         var ahead = 0
         val late = JobOrder.overdueBeforeMs(context.nowMs)
         val ordered = context.scheduling.schedulingOrder(waiting, use)
-        for (j in LargeGangReservation.first(gathers(waiting, use), ordered)) {
+        for (j in LargeGangReservation.withReservedFirst(gathers(waiting, use), ordered)) {
             // What seems to be a mistake is tried on what is there: nothing is rented for it, for a long while.
             if (j.isDeprioritized(late)) continue
             val n = minOf(places(j), context.scheduling.admissibleTasks(j, use))
@@ -68,8 +68,8 @@
     /** The gang that room is gathered for, unless its team's limit keeps it from starting. */
     private fun gathers(waiting: List<Job>, use: TeamUsage): Job? {
         val gangs = waiting.filter { it.isGang && it.placedCount == 0 }
-        return LargeGangReservation.next(gangs, LargeGangReservation.overdueBeforeMs(context.nowMs))?.takeIf {
-            use.allows(it.spec.team, it.spec.taskResources) >= it.spec.taskCount
+        return LargeGangReservation.selectGang(gangs, LargeGangReservation.overdueBeforeMs(context.nowMs))?.takeIf {
+            use.remainingTasks(it.spec.team, it.spec.taskResources) >= it.spec.taskCount
         }
     }
 
@@ -79,7 +79,7 @@
         val bootTimeS =
             context.view.machineTypes.values.filter { JobAdmission.allowed(j.spec, it) }.minOfOrNull { it.bootTimeS }
                 ?: 0.0
-        return ShortTaskPolicy.rented(
+        return ShortTaskPolicy.placesToProvision(
             j.spec,
             j.pendingCount,
             j.placedCount,
--- a/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
@@ -265,7 +265,7 @@
             bins,
             w.machineTypes,
             mostNew,
-            context.scheduling.reservations::rents,
+            context.scheduling.reservations::isUnreservedFor,
             load(),
         ) { o ->
             val f = w.machineTypes[o.machineType]
@@ -310,7 +310,8 @@
         return Load { zone, more -> ((machines[zone] ?: 0) + more).toDouble() / maxOf(1, nodes[zone] ?: 0) }
     }
 
-    private fun guest(j: Job, m: Machine) = context.scheduling.reservations.guests(j.spec, m.machineType, m.preemptible)
+    private fun guest(j: Job, m: Machine) =
+        context.scheduling.reservations.isBackfill(j.spec, m.machineType, m.preemptible)
 
     /** What a machine has free once its guests have made way: with them counted, spares were rented twice. */
     private fun roomWithoutGuests(m: Machine): Resources? {
--- a/src/main/kotlin/flaxfield/fleet/FleetRules.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetRules.kt
@@ -127,7 +127,7 @@
      * for two cancellations. It gets them if else it would not begin in time, or seems never to be done.
      */
     fun pressesWithoutAim(ageS: Double, begun: Boolean): Boolean =
-        ageS > JobOrder.BEGIN_S * (if (begun) STUCK_SHARE else UNBEGUN_SHARE)
+        ageS > JobOrder.START_OBJECTIVE_S * (if (begun) STUCK_SHARE else UNBEGUN_SHARE)
 
     private const val UNBEGUN_SHARE = 0.5
     private const val STUCK_SHARE = 2.0
--- a/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
@@ -11,72 +11,107 @@
 import flaxfield.quota.JobOrder
 import flaxfield.quota.TeamUsage
 
-/** What one run of the gang scheduler looks at, and what it has found out on the way. */
+/** A machine with what its owner's shard summary tells of it. */
+data class ObservedMachine(val machine: Machine, val status: MachineStatus)
+
+/** What decides whose tasks a gang may preempt: gangs of one scope see the same machines after eviction. */
+data class PreemptionScope(
+    val priority: Priority,
+    val guaranteed: Boolean,
+    /** The gang's team if it is within that team's guarantee, else empty. */
+    val team: String,
+    val isSuspect: Boolean,
+)
+
+/**
+ * The state of one run of the gang scheduler: the machines that are still open to gangs, the teams' usage with what
+ * the run has added to it, and what it has found infeasible. Used for one run only.
+ */
 class GangSchedulingCycle(
     private val context: ControllerContext,
-    var candidates: List<PlacementCandidate>,
-    val use: TeamUsage,
-    val guaranteed: Set<String>,
+    private var candidates: List<PlacementCandidate>,
+    val usage: TeamUsage,
+    private val guaranteed: Set<String>,
     val term: ULong,
 ) {
-    /** Rounds that are known to be short. */
-    val known = InfeasibleShapes()
-    private val evictable = HashMap<Rights, Map<String, Resources>>()
-
-    /** Machines that carry gangs now, with what their owners tell of them. */
-    val busyWithGangs: List<Pair<Machine, MachineStatus>> by lazy(LazyThreadSafetyMode.NONE) {
-        val w = context.view
-        w.machines.values.filter { m -> m.takesWork && w.jobsOn(m.name).any { it.isGang } }
-            .mapNotNull { m -> w.machineStatus(m.name)?.takeIf { it.state == MachineHealth.OK }?.let { m to it } }
-    }
+    private val infeasible = InfeasibleShapes()
+    private val evictableByScope = HashMap<PreemptionScope, Map<String, Resources>>()
 
-    /** The round of [job] on the seats as they are. */
-    fun plain(job: Job): GangPlacementResult = known.run(job, "") { candidates }
+    /** How many placement attempts this run has made. */
+    val attempts: Int get() = infeasible.attempts
 
-    /** The seats as they would be without the tasks that this gang may take the place of. */
-    fun cleared(job: Job): List<PlacementCandidate> {
-        val room = evictable.getOrPut(rights(job)) { evictable(job) }
-        return candidates.map { s ->
-            room[s.machine.name]?.let { PlacementCandidate(s.machine, s.incarnation, s.free + it, s.images, s.empty) }
-                ?: s.copy()
-        }
+    /** Machines that run gangs now. */
+    val machinesWithGangs: List<ObservedMachine> by lazy(LazyThreadSafetyMode.NONE) {
+        val view = context.view
+        view.machines.values.filter { machine -> machine.takesWork && view.jobsOn(machine.name).any { it.isGang } }
+            .mapNotNull { machine ->
+                val status = view.machineStatus(machine.name)?.takeIf { it.state == MachineHealth.OK }
+                status?.let { ObservedMachine(machine, it) }
+            }
     }
 
-    /** The round of [job] once others have made way for it. */
-    fun afterEviction(job: Job): GangPlacementResult = known.run(job, rights(job).toString()) { cleared(job) }
+    /** Places [job] on what is free now. */
+    fun placeOnFree(job: Job): GangPlacementResult = infeasible.place(job, null) { candidates }
+
+    /** Places [job] on what would be free once the tasks that it may preempt have left. */
+    fun placeAfterEviction(job: Job): GangPlacementResult =
+        infeasible.place(job, scopeOf(job)) { candidatesAfterEviction(job) }
+
+    /** Takes machines out of this run: a machine carries one reservation at a time. */
+    fun exclude(machineNames: Set<String>) {
+        candidates = candidates.filter { it.machine.name !in machineNames }
+    }
 
-    /** A machine carries one claim at a time. */
-    fun claimed(hosts: Set<String>) {
-        candidates = candidates.filter { it.machine.name !in hosts }
+    /** Leaves the machines that [job] will use to it, for the rest of this run. */
+    fun reserveFor(job: Job) {
+        candidates = LargeGangReservation.withoutReserved(job, candidates, candidatesAfterEviction(job))
     }
 
-    private fun rights(job: Job): Rights {
-        val within = job.id in guaranteed
-        return Rights(job.spec.priority, within, if (within) job.spec.team else "", job.isSuspect)
+    private fun candidatesAfterEviction(job: Job): List<PlacementCandidate> {
+        val evictable = evictableByScope.getOrPut(scopeOf(job)) { evictableResources(job) }
+        return candidates.map { candidate ->
+            evictable[candidate.machine.name]?.let { candidate.withFree(candidate.free + it) } ?: candidate.copy()
+        }
     }
 
-    private fun mayEvict(job: Job, guaranteed: Boolean, other: Job, use: TeamUsage) =
-        !other.isGang && JobOrder.mayPreempt(job, guaranteed, other, use)
+    private fun PlacementCandidate.withFree(resources: Resources) =
+        PlacementCandidate(machine, incarnation, resources, images, isEmpty)
+
+    private fun scopeOf(job: Job): PreemptionScope {
+        val isGuaranteed = job.id in guaranteed
+        return PreemptionScope(
+            job.spec.priority,
+            isGuaranteed,
+            if (isGuaranteed) job.spec.team else "",
+            job.isSuspect,
+        )
+    }
 
-    private fun evictable(job: Job): Map<String, Resources> {
-        val w = context.view
-        val within = job.id in guaranteed
+    /** What [job] may free on each candidate by preemption, with what is to leave anyway, by machine name. */
+    private fun evictableResources(job: Job): Map<String, Resources> {
+        val isGuaranteed = job.id in guaranteed
         val result = HashMap<String, Resources>()
-        for (s in candidates) {
-            var room = Resources.NONE
-            for (other in w.jobsOn(s.machine.name)) {
-                val n = when {
-                    other.cancelled || mayEvict(job, within, other, use) -> w.countOn(s.machine.name, other.id)
-                    other.id in w.halting -> w.on(s.machine.name).count { it.job.id == other.id && it.placed.stopping }
-                    else -> 0
-                }
-                if (n > 0) room += other.spec.taskResources * n
+        for (candidate in candidates) {
+            val machineName = candidate.machine.name
+            var resources = Resources.NONE
+            for (other in context.view.jobsOn(machineName)) {
+                val tasks = countLeaving(job, isGuaranteed, other, machineName)
+                if (tasks > 0) resources += other.spec.taskResources * tasks
             }
-            if (room !== Resources.NONE) result[s.machine.name] = room
+            if (resources !== Resources.NONE) result[machineName] = resources
         }
         return result
     }
-}
 
-/** What decides whose tasks a gang may take the place of. */
-private data class Rights(val priority: Priority, val guaranteed: Boolean, val owner: String, val isSuspect: Boolean)
+    private fun countLeaving(job: Job, isGuaranteed: Boolean, other: Job, machineName: String): Int {
+        val view = context.view
+        return when {
+            other.cancelled || mayEvict(job, isGuaranteed, other) -> view.countOn(machineName, other.id)
+            other.id in view.halting -> view.on(machineName).count { it.job.id == other.id && it.placed.stopping }
+            else -> 0
+        }
+    }
+
+    private fun mayEvict(job: Job, isGuaranteed: Boolean, other: Job) =
+        !other.isGang && JobOrder.mayPreempt(job, isGuaranteed, other, usage)
+}
--- a/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
+++ b/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
@@ -2,123 +2,70 @@
 
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.arrays.PlacementCandidate
-import flaxfield.arrays.TopologyConstraint
 import flaxfield.jobs.Job
-import flaxfield.jobs.JobSpec
-import flaxfield.jobs.Resources
 import flaxfield.quota.JobOrder
 
 /**
- * Pure: room kept together for one large gang. Without it, each machine that came free went to a smaller
- * gang that fitted at once, and the largest ones waited for ever.
+ * Pure: machines reserved for one large gang at a time. Without it, each machine that comes free goes to a smaller gang
+ * that fits at once, and the largest ones starve.
  */
 object LargeGangReservation {
-    /** A gang that has waited this share of [JobOrder.BEGIN_S] has room gathered for it. */
-    private const val LATE_SHARE = 0.2
+    /** A gang that has waited this fraction of the start objective may have machines reserved for it. */
+    private const val OVERDUE_FRACTION = 0.2
 
-    /** Gangs submitted before this have room gathered for them. */
-    fun overdueBeforeMs(nowMs: Long): Long = nowMs - (JobOrder.BEGIN_S * LATE_SHARE * MILLIS_PER_SECOND).toLong()
+    /** Gangs submitted before this may have machines reserved for them. */
+    fun overdueBeforeMs(nowMs: Long): Long =
+        nowMs - (JobOrder.START_OBJECTIVE_S * OVERDUE_FRACTION * MILLIS_PER_SECOND).toLong()
+
+    /** The gang to reserve for: the largest of those submitted before [overdueBeforeMs], the oldest of these. */
+    fun selectGang(waiting: Collection<Job>, overdueBeforeMs: Long): Job? = waiting
+        .filter { it.submittedMs < overdueBeforeMs && it.spec.taskCount > 1 && !it.isSuspect }
+        .minWithOrNull(compareBy({ -it.spec.taskCount }, { it.submittedMs }, { it.id }))
 
     /**
-     * [ordered] with the gang that room is gathered for at its head. Whoever rents machines must keep to the same
-     * order: room was kept for one gang and rented for another, and neither ever began.
+     * [ordered] with the gang that machines are reserved for at its head. The fleet must scale out in the same order as
+     * gangs are placed: else machines are reserved for one gang and scaled out for another, and neither starts.
      */
-    fun first(gathers: Job?, ordered: List<Job>): List<Job> =
-        listOfNotNull(gathers) + ordered.filter { it.id != gathers?.id }
-
-    /** The gang to gather for: the largest of those submitted before [overdueBeforeMs], the oldest of these. */
-    fun next(waiting: Collection<Job>, overdueBeforeMs: Long): Job? = waiting.filter {
-        it.submittedMs < overdueBeforeMs &&
-            it.spec.taskCount > 1 &&
-            !it.isSuspect
-    }
-        .minWithOrNull(compareBy({ -it.spec.taskCount }, { it.submittedMs }, { it.id }))
+    fun withReservedFirst(reservedFor: Job?, ordered: List<Job>): List<Job> =
+        listOfNotNull(reservedFor) + ordered.filter { it.id != reservedFor?.id }
 
     /**
-     * Whether [job] leaves its team's limit to a gang that gathers and is kept from starting by that limit alone.
-     * Machines were kept for such a gang instead, which it could not use, and an earlier gang of its team found none
-     * for minutes.
+     * Whether [job] leaves its team's quota to [quotaBound], the selected gang that this quota alone keeps from
+     * starting. Only younger jobs of its team do; machines are not reserved for a gang that can't use them.
      */
-    fun yields(job: Job, atLimit: Job): Boolean =
-        job !== atLimit && job.spec.team == atLimit.spec.team && job.submittedMs > atLimit.submittedMs
+    fun leavesQuotaTo(job: Job, quotaBound: Job): Boolean =
+        job !== quotaBound && job.spec.team == quotaBound.spec.team && job.submittedMs > quotaBound.submittedMs
 
     /**
      * [candidates] less those that [job] will use: in the zone where it lacks the least, as many as it has tasks.
-     * [cleared] are the same seats as they would be without the tasks that it may take the place of.
+     * [afterEviction] are the same machines as they would be without the tasks that it may preempt.
      */
-    fun without(
+    fun withoutReserved(
         job: Job,
         candidates: List<PlacementCandidate>,
-        cleared: List<PlacementCandidate>,
+        afterEviction: List<PlacementCandidate>,
     ): List<PlacementCandidate> {
-        val fit = cleared.filter { fits(job, it) }
-        val zone = if (job.spec.sameZone) {
-            fit.groupBy {
-                it.machine.zone
-            }.values.maxByOrNull { z -> tasks(job, z) }
+        val eligible = afterEviction.filter { it.fits(job) }
+        val usable = if (job.spec.sameZone) {
+            eligible.groupBy { it.machine.zone }.values.maxByOrNull { zone -> countFitting(job, zone) }.orEmpty()
         } else {
-            fit
+            eligible
         }
-        val kept = HashSet<String>()
-        var left = job.spec.taskCount
-        for (s in zone.orEmpty().sortedWith(compareBy({ if (it.empty) 0 else 1 }, { it.machine.name }))) {
-            if (left <= 0) break
-            kept += s.machine.name
-            left -= s.free.countFitting(job.spec.taskResources)
+        val reserved = HashSet<String>()
+        var remaining = job.spec.taskCount
+        for (candidate in usable.sortedWith(compareBy({ if (it.isEmpty) 0 else 1 }, { it.machine.name }))) {
+            if (remaining <= 0) break
+            reserved += candidate.machine.name
+            remaining -= candidate.free.countFitting(job.spec.taskResources)
         }
-        return candidates.filter { it.machine.name !in kept }
+        return candidates.filter { it.machine.name !in reserved }
     }
 
-    private fun tasks(job: Job, candidates: List<PlacementCandidate>): Int {
-        val most = job.spec.taskCount
-        return minOf(most, candidates.sumOf { minOf(it.free.countFitting(job.spec.taskResources), most) })
-    }
-
-    private fun fits(job: Job, s: PlacementCandidate) =
-        TopologyConstraint.allowsMachineKind(job.spec, s.machine.machineType, s.machine.zone, s.machine.preemptible) &&
-            s.machine.name !in job.failedMachines &&
-            s.free.canHold(job.spec.taskResources)
-}
-
-/**
- * Rounds of one run that fell short, so that gangs of the same shape, as large or larger, are not tried
- * again: a hundred of them parked cost the leader its whole share.
- */
-class InfeasibleShapes {
-    private data class Shape(
-        val taskResources: Resources,
-        val machineTypes: Set<String>?,
-        val zone: String?,
-        val sameZone: Boolean,
-        val spreadAcrossZones: Boolean,
-        val preemptible: Boolean,
-        val rights: String,
-    )
-
-    private val shortAt = HashMap<Shape, Int>()
-
-    /** Rounds that were really run. */
-    var runs = 0
-        private set
-
-    /**
-     * Runs [job]'s round over [candidates], unless one like it is known to be short. [rights] tells what was cleared.
-     */
-    fun run(job: Job, rights: String, candidates: () -> List<PlacementCandidate>): GangPlacementResult {
-        // Machines that failed this very job narrow its round: it tells nothing of the others.
-        if (job.failedMachines.isNotEmpty()) {
-            runs++
-            return GangPlacement.run(job, candidates())
-        }
-        val shape = shape(job.spec, rights)
-        val known = shortAt[shape]
-        if (known != null && job.spec.taskCount >= known) return GangPlacementResult.Infeasible(0, job.spec.taskCount)
-        runs++
-        val r = GangPlacement.run(job, candidates())
-        if (r is GangPlacementResult.Infeasible) shortAt[shape] = job.spec.taskCount
-        return r
+    private fun countFitting(job: Job, candidates: List<PlacementCandidate>): Int {
+        val taskCount = job.spec.taskCount
+        return minOf(
+            taskCount,
+            candidates.sumOf { minOf(it.free.countFitting(job.spec.taskResources), taskCount) },
+        )
     }
-
-    private fun shape(s: JobSpec, rights: String) =
-        Shape(s.taskResources, s.machineTypes, s.zone, s.sameZone, s.spreadAcrossZones, s.preemptible, rights)
 }
--- a/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
@@ -3,7 +3,7 @@
 import flaxfield.BYTES_PER_KIB
 import flaxfield.NANOS_PER_MILLI
 import flaxfield.NANOS_PER_SECOND
-import flaxfield.arrays.ArrayScheduler
+import flaxfield.arrays.InitialPlacement
 import flaxfield.codec.Cbor
 import flaxfield.codec.MalformedException
 import flaxfield.controller.Controller
@@ -21,10 +21,7 @@
 import org.slf4j.LoggerFactory
 
 /** Users' requests: submit, status, cancel. Nothing is told before it is committed. */
-class JobRequestHandler(
-    private val context: ControllerContext,
-    private val begin: (Job) -> ArrayScheduler.InitialPlacement?,
-) {
+class JobRequestHandler(private val context: ControllerContext, private val begin: (Job) -> InitialPlacement?) {
     private class Waiter(val id: String, val responder: Responder, val sinceNs: Long, val then: (Job?) -> Unit) {
         /** The view must have reached this revision; null until a read has told it. */
         var taskResources: ULong? = null
--- a/src/main/kotlin/flaxfield/operator/JobExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/JobExplainer.kt
@@ -77,7 +77,7 @@
 
     private fun limit(job: Job): Reason? {
         val needed = if (job.isGang) job.spec.taskCount else 1
-        val allowed = TeamUsage(snapshot.jobs.values, teams).allows(job.spec.team, job.spec.taskResources)
+        val allowed = TeamUsage(snapshot.jobs.values, teams).remainingTasks(job.spec.team, job.spec.taskResources)
         if (allowed >= needed) return null
         return Reason(
             "team_limit",
@@ -103,7 +103,7 @@
             val whole = snapshot.machineTypes[m.machineType]?.room ?: return@mapNotNull null
             PlacementCandidate(m, 0uL, whole - (used[m.name] ?: Resources.NONE), emptyList(), m.name !in used)
         }
-        val round = GangPlacement.run(job, candidates.map { it.copy() })
+        val round = GangPlacement.place(job, candidates.map { it.copy() })
         val free = candidates.sumOf { minOf(it.free.countFitting(job.spec.taskResources), job.pendingCount) }
         return when {
             job.isGang && round is GangPlacementResult.Infeasible ->
--- a/src/test/kotlin/flaxfield/arrays/PlacementTest.kt
+++ b/src/test/kotlin/flaxfield/arrays/PlacementTest.kt
@@ -28,15 +28,21 @@
         // 25,000 tasks of 4 s took all free room at once, and rented as many machines again, to end moments later.
         fun spec(taskCount: Int, expectedRuntimeS: Double) =
             Samples.spec(taskCount = taskCount).copy(expectedRuntimeS = expectedRuntimeS)
-        assertEquals(1459, ShortTaskPolicy.width(spec(25_000, 4.0), bootTimeS = 40.0, heartbeatIntervalS = 3.0))
-        assertEquals(256, ShortTaskPolicy.width(spec(1_000, 4.0), bootTimeS = 40.0, heartbeatIntervalS = 3.0))
+        assertEquals(
+            1459,
+            ShortTaskPolicy.maxConcurrentTasks(spec(25_000, 4.0), bootTimeS = 40.0, heartbeatIntervalS = 3.0),
+        )
+        assertEquals(
+            256,
+            ShortTaskPolicy.maxConcurrentTasks(spec(1_000, 4.0), bootTimeS = 40.0, heartbeatIntervalS = 3.0),
+        )
         assertEquals(
             Int.MAX_VALUE,
-            ShortTaskPolicy.width(spec(25_000, 20.0), bootTimeS = 40.0, heartbeatIntervalS = 3.0),
+            ShortTaskPolicy.maxConcurrentTasks(spec(25_000, 20.0), bootTimeS = 40.0, heartbeatIntervalS = 3.0),
         )
         assertEquals(
             1159,
-            ShortTaskPolicy.rented(
+            ShortTaskPolicy.placesToProvision(
                 spec(25_000, 4.0),
                 pending = 24_000,
                 placed = 300,
@@ -46,7 +52,7 @@
         )
         assertEquals(
             0,
-            ShortTaskPolicy.rented(
+            ShortTaskPolicy.placesToProvision(
                 spec(25_000, 4.0),
                 pending = 24_000,
                 placed = 1_500,
@@ -56,7 +62,7 @@
         )
         assertEquals(
             20,
-            ShortTaskPolicy.rented(
+            ShortTaskPolicy.placesToProvision(
                 spec(100, 60.0),
                 pending = 20,
                 placed = 80,
@@ -75,13 +81,13 @@
             Samples.candidate(h, Resources(cpus, 1.0, 64.0))
         }
         val held = HeadOfLineReservations { Resources(16.0, 4.0, 64.0) }
-        held.hold(big, tasks = 4, candidates) { it.machine.name != "h2" }
+        held.reserve(big, tasks = 4, candidates) { it.machine.name != "h2" }
         // A machine holds three of its tasks: two are kept, of those that suit it.
-        assertEquals(listOf(false, true, false), candidates.map { held.offered(tiny, it) })
-        assertEquals(listOf(true, true, true), candidates.map { held.offered(alike, it) })
+        assertEquals(listOf(false, true, false), candidates.map { held.admits(tiny, it) })
+        assertEquals(listOf(true, true, true), candidates.map { held.admits(alike, it) })
         val few = HeadOfLineReservations { Resources(16.0, 4.0, 64.0) }
-        few.hold(big, tasks = 1, candidates) { true }
-        assertEquals(listOf(true, false, true), candidates.map { few.offered(tiny, it) })
+        few.reserve(big, tasks = 1, candidates) { true }
+        assertEquals(listOf(true, false, true), candidates.map { few.admits(tiny, it) })
     }
 
     @Test
@@ -90,7 +96,7 @@
         fun place(limits: ArrayPlacement.Limits, places: Int = 99, open: (Int) -> Boolean = { true }) =
             ArrayPlacement.place(
                 Samples.job(spec),
-                listOf("h1", "h2", "h3").map { Samples.candidate(it).apply { this.places = places } },
+                listOf("h1", "h2", "h3").map { Samples.candidate(it).apply { this.taskSlots = places } },
                 TopologyConstraint(spec, emptyList()),
                 6,
                 limits,
@@ -98,7 +104,7 @@
             )
         assertEquals(24, place(ArrayPlacement.Limits(99)).size)
         assertEquals((6..9).toList(), place(ArrayPlacement.Limits(4)).keys.toList())
-        assertEquals(setOf("h1"), place(ArrayPlacement.Limits(99, hosts = 1)).values.map { it.machine.name }.toSet())
+        assertEquals(setOf("h1"), place(ArrayPlacement.Limits(99, machines = 1)).values.map { it.machine.name }.toSet())
         assertEquals((6..15) + (0..5), place(ArrayPlacement.Limits(99, chunks = 2)).keys.toList())
         // A chunk that a write of ours is changing is left alone: another would only fail.
         assertEquals((16..23).toList(), place(ArrayPlacement.Limits(99)) { it == 2 }.keys.toList())
@@ -167,17 +173,24 @@
             atMs = 100,
         )
         val r = GangCapacityReservation()
-        r.note(listOf(gang), machineTypes, nowMs = 100, keepMs = 50)
+        r.update(listOf(gang), machineTypes, nowMs = 100, keepMs = 50)
         val saves = Samples.spec()
         val loses = Samples.spec(checkpointIntervalS = 0.0)
         assertEquals(
             listOf(false, true, true),
-            listOf(r.rents(loses, "big", false), r.rents(loses, "big", true), r.rents(loses, "small", false)),
+            listOf(
+                r.isUnreservedFor(loses, "big", false),
+                r.isUnreservedFor(loses, "big", true),
+                r.isUnreservedFor(loses, "small", false),
+            ),
         )
         // Tasks that save are cheap to evict: they may use such a machine while it is free.
-        assertEquals(listOf(true, false), listOf(r.fills(saves, "big", false), r.fills(loses, "big", false)))
-        r.note(emptyList(), machineTypes, nowMs = 200, keepMs = 50)
-        assertEquals(true, r.rents(loses, "big", false))
+        assertEquals(
+            listOf(true, false),
+            listOf(r.mayBackfill(saves, "big", false), r.mayBackfill(loses, "big", false)),
+        )
+        r.update(emptyList(), machineTypes, nowMs = 200, keepMs = 50)
+        assertEquals(true, r.isUnreservedFor(loses, "big", false))
     }
 
     @Test
@@ -198,9 +211,9 @@
         )
         for ((gangs, open, want) in table) {
             val r = GangCapacityReservation()
-            r.note(gangs, machineTypes, nowMs = 100, keepMs = 50)
-            assertEquals(want, r.spokenFor("big", open), "$open open")
-            assertEquals(false, r.spokenFor("small", open))
+            r.update(gangs, machineTypes, nowMs = 100, keepMs = 50)
+            assertEquals(want, r.isClaimedByWaitingGangs("big", open), "$open open")
+            assertEquals(false, r.isClaimedByWaitingGangs("small", open))
         }
     }
 
@@ -211,14 +224,14 @@
             Samples.job(Samples.spec(id = id, jobKind = JobKind.GANG, taskCount = 2), atMs = ms)
         }
         val r = GangCapacityReservation()
-        r.note(listOf(gang("job-1", 10), gang("job-2", 20)), emptyList(), 30, 100)
-        assertEquals(Resources(16.0, 4.0, 64.0), r.ofLimit("red"))
+        r.update(listOf(gang("job-1", 10), gang("job-2", 20)), emptyList(), 30, 100)
+        assertEquals(Resources(16.0, 4.0, 64.0), r.reservedQuota("red"))
         // What has waited long leaves it to earlier gangs only.
-        assertEquals(listOf(0.0, 2.0, 4.0), listOf(10L, 20L, 21L).map { r.ofWaiting("red", it).gpus })
-        r.note(listOf(gang("job-2", 20).on(0 to "h", 1 to "h")), emptyList(), 30, 100)
-        assertEquals(Resources(8.0, 2.0, 32.0), r.ofLimit("red"))
-        r.note(emptyList(), emptyList(), 200, 100)
-        assertEquals(Resources.NONE, r.ofLimit("red"))
+        assertEquals(listOf(0.0, 2.0, 4.0), listOf(10L, 20L, 21L).map { r.waitingGangQuota("red", it).gpus })
+        r.update(listOf(gang("job-2", 20).on(0 to "h", 1 to "h")), emptyList(), 30, 100)
+        assertEquals(Resources(8.0, 2.0, 32.0), r.reservedQuota("red"))
+        r.update(emptyList(), emptyList(), 200, 100)
+        assertEquals(Resources.NONE, r.reservedQuota("red"))
     }
 
     @Test
--- a/src/test/kotlin/flaxfield/quota/QuotaTest.kt
+++ b/src/test/kotlin/flaxfield/quota/QuotaTest.kt
@@ -37,10 +37,10 @@
     fun `a record counts against the limit until proof that its task has left`() {
         val three = job("job-1", taskCount = 4).on(0 to "h", 1 to "h", 2 to "h")
         val use = TeamUsage(listOf(three.stop(listOf(0))), teams)
-        assertEquals(1, use.allows("red", three.spec.taskResources))
-        assertEquals(0, use.allows("red", three.spec.taskResources, kept = Resources(0.0, 1.0, 0.0)))
-        assertEquals(Int.MAX_VALUE, use.allows("blue", three.spec.taskResources))
-        assertEquals(0, use.allows("nobody", three.spec.taskResources))
+        assertEquals(1, use.remainingTasks("red", three.spec.taskResources))
+        assertEquals(0, use.remainingTasks("red", three.spec.taskResources, kept = Resources(0.0, 1.0, 0.0)))
+        assertEquals(Int.MAX_VALUE, use.remainingTasks("blue", three.spec.taskResources))
+        assertEquals(0, use.remainingTasks("nobody", three.spec.taskResources))
     }
 
     @Test
