--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -4,42 +4,42 @@
 import flaxfield.jobs.Job
 import flaxfield.jobs.Placement
 
-/** Why a task of a team does not do its work now. */
+/** Why a task counts as unavailable. */
 enum class Absence {
-    /** A drain has stopped it, and it is not yet known to run again. */
+    /** A drain has evicted it, and it is not yet proven to run again. */
     DRAINED,
 
-    /** It was told to stop for another reason: preemption, a spot notice, a machine that is no longer needed. */
+    /** It was told to stop for another reason: preemption, a spot notice, scale-in. */
     STOPPING,
 
-    /** Its machine has stopped reporting, and nothing is proven yet. */
+    /** Its machine has stopped reporting, and the state of the task is unknown. */
     SILENT,
 
-    /** It was lost with its machine, by a failure or after having been stopped, and is not yet known to run again. */
+    /** It was lost with its machine, failed or was stopped, and is not yet proven to run again. */
     LOST,
 }
 
-/** How one team stands against its budget. */
+/** How one team stands against its disruption budget. */
 data class TeamAvailability(
     /** What its tasks take while nothing is lost. */
     val expected: Capacity,
-    /** What of it is unavailable now, for whatever reason. */
+    /** How much of it is unavailable now, for whatever reason. */
     val unavailable: Capacity,
     /** What may be unavailable at once. */
     val allowed: Capacity,
     /** How many tasks are absent, by reason. */
     val absences: Map<Absence, Int>,
 ) {
-    /** Whether [more] may be disrupted now. */
-    fun permits(more: Capacity): Boolean = (unavailable + more).within(allowed)
+    /** Whether [cost] may be disrupted in addition now. */
+    fun permits(cost: Capacity): Boolean = (unavailable + cost).within(allowed)
 
     /** Whether [cost] would fit if nothing else were unavailable. */
     fun everPermits(cost: Capacity): Boolean = cost.within(allowed)
 }
 
-/** Pure: what is available of each team's capacity, counted from records alone. */
+/** Pure: how much of each team's capacity is unavailable, counted from the records of one snapshot. */
 class Availability(private val snapshot: FleetSnapshot, private val policy: FleetPolicy) {
-    private class Sums {
+    private class Totals {
         var expected = Capacity.NONE
         var unavailable = Capacity.NONE
         val absences = HashMap<Absence, Int>()
@@ -52,7 +52,7 @@
     fun of(team: String): TeamAvailability = teams[team]
         ?: TeamAvailability(Capacity.NONE, Capacity.NONE, policy.allowed(team, Capacity.NONE), emptyMap())
 
-    /** Why a task is unavailable; null if it is not, or is nobody's loss. */
+    /** Why a task is unavailable; null if it is available, or its job has no capacity to lose. */
     fun absence(job: Job, index: Int): Absence? {
         val placed = job.placed(index)
         val drained = snapshot.ledgers[job.spec.team]?.entries?.containsKey(TaskId(job.id, index)) ?: false
@@ -67,27 +67,28 @@
     }
 
     private fun count(): Map<String, TeamAvailability> {
-        val sums = HashMap<String, Sums>()
-        for (job in snapshot.jobs.values) if (counts(job)) add(job, sums.getOrPut(job.spec.team) { Sums() })
-        return sums.mapValues { (team, s) ->
-            TeamAvailability(s.expected, s.unavailable, policy.allowed(team, s.expected), s.absences)
+        val totals = HashMap<String, Totals>()
+        for (job in snapshot.jobs.values) if (counts(job)) add(job, totals.getOrPut(job.spec.team) { Totals() })
+        return totals.mapValues { (team, total) ->
+            val allowed = policy.allowed(team, total.expected)
+            TeamAvailability(total.expected, total.unavailable, allowed, total.absences)
         }
     }
 
-    private fun add(job: Job, sums: Sums) {
+    private fun add(job: Job, totals: Totals) {
         val tasks = job.allPlaced().mapTo(HashSet(), Placement::index)
         for (chunk in job.chunks.values) tasks += chunk.interrupted
         var absent = 0
         for (index in tasks) {
-            val why = absence(job, index) ?: continue
-            sums.absences.merge(why, 1, Int::plus)
+            val reason = absence(job, index) ?: continue
+            totals.absences.merge(reason, 1, Int::plus)
             absent++
         }
-        val each = Capacity.of(job.spec)
-        sums.expected += each * tasks.size
-        sums.unavailable += each * absent
+        val perTask = Capacity.of(job.spec)
+        totals.expected += perTask * tasks.size
+        totals.unavailable += perTask * absent
     }
 
-    /** A job that its user gave up, or that fails on every machine, has no capacity to lose. */
+    /** A job that is cancelled, or that fails on every machine, has no capacity to lose. */
     private fun counts(job: Job) = !job.cancelled && !job.isSuspect
 }
--- a/src/main/kotlin/flaxfield/drain/DrainCodec.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainCodec.kt
@@ -78,7 +78,7 @@
     )
 
     private fun encode(limit: BudgetLimit): Map<String, Any?> = when (limit) {
-        is BudgetLimit.Absolute -> mapOf("cpus" to limit.most.cpus, "accelerators" to limit.most.accelerators)
+        is BudgetLimit.Absolute -> mapOf("cpus" to limit.amount.cpus, "accelerators" to limit.amount.accelerators)
         is BudgetLimit.Percent -> mapOf("percent" to limit.percent)
     }
 
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -1,13 +1,10 @@
 package flaxfield.drain
 
-import flaxfield.BYTES_PER_KIB
 import flaxfield.controller.ControllerContext
 import flaxfield.fleet.FleetCodec
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
-import flaxfield.jobs.Job
 import flaxfield.jobs.TaskEventCommitter
-import flaxfield.settings.StateLimits
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -17,34 +14,35 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's part of all drains: commits what [DrainPlanner] plans. Each action is one transaction that holds only
- * under this term and the versions that the plan was made on, so that neither an earlier leader nor a late copy of a
- * transaction can add to it. Halts follow from the records, after the commit.
+ * Commits the actions that [DrainPlanner] plans; only the leader runs it, on the owner thread. Each action is one
+ * transaction conditional on the term and on the versions that the plan was made from, so that neither an earlier
+ * leader nor a delayed duplicate can add to it. Stop requests to workers follow from the committed records.
  */
 class DrainReconciler(private val context: ControllerContext) {
     private val limits = context.settings.stateLimits
-    private val entries = LedgerEntries(context)
+    private val ledgers = LedgerReleaser(context)
+    private val finishedDrains = FinishedDrainCleaner(context)
 
-    /** Plans on [snapshot] and sends what can be sent now. */
+    /** Plans from [snapshot] and submits what may be written now. */
     fun run(snapshot: FleetSnapshot) {
         val term = context.leadership.term() ?: return
-        if (snapshot.ledgers.values.any { it.entries.isNotEmpty() }) entries.settle(snapshot)
+        if (snapshot.ledgers.values.any { it.entries.isNotEmpty() }) ledgers.releaseFinished(snapshot)
         if (snapshot.drains.isEmpty()) return
-        for (action in DrainPlanner(snapshot, mostEntries(limits)).plan().actions) {
+        for (action in DrainPlanner(snapshot, LedgerLimits.maxEntries(limits)).plan().actions) {
             if (!context.transactions.mayWrite(WriteCause.FLEET, 1)) return
             when (action) {
-                is DrainAction.Count -> counted(action)
+                is DrainAction.SetTarget -> setTarget(action)
                 is DrainAction.Cordon -> cordon(action, term)
-                is DrainAction.Step -> step(snapshot, action, term)
+                is DrainAction.Evict -> evict(snapshot, action, term)
                 is DrainAction.Retire -> retire(action, term)
                 is DrainAction.Uncordon -> uncordon(action, term)
                 is DrainAction.Finish -> write(action.drain.copy(phase = action.phase))
             }
         }
-        forgetOld(snapshot)
+        finishedDrains.deleteOldest(snapshot)
     }
 
-    private fun counted(action: DrainAction.Count) {
+    private fun setTarget(action: DrainAction.SetTarget) {
         val drain = action.drain
         if (action.target > 0) return write(drain.copy(target = action.target))
         write(drain.copy(target = 0, phase = DrainPhase.FAILED, note = "no machine fits that no other drain has"))
@@ -53,15 +51,14 @@
     private fun write(drain: DrainRecord) {
         val key = FleetKeys.DRAIN + drain.id
         if (context.transactions.isWritePending(key)) return
-        val txn =
-            Transaction(
-                TaskEventCommitter.fence(context) + (key to drain.version),
-                listOf(Change.Put(key, DrainCodec.encode(drain))),
-            )
-        context.transactions.submit(WriteCause.FLEET, txn) { outcome ->
+        val transaction = Transaction(
+            TaskEventCommitter.fence(context) + (key to drain.version),
+            listOf(Change.Put(key, DrainCodec.encode(drain))),
+        )
+        context.transactions.submit(WriteCause.FLEET, transaction) { outcome ->
             if (outcome is TransactionOutcome.Committed) {
                 log.info(
-                    "drain={} phase={} target={} {}",
+                    "event=drain_updated drain={} phase={} target={} reason=\"{}\"",
                     drain.id,
                     drain.phase,
                     drain.target,
@@ -71,176 +68,110 @@
         }
     }
 
-    /** The drain's record counts what it has taken, in the same transaction. */
+    /** The same transaction adds the machines to the drain's count of cordoned machines. */
     private fun cordon(action: DrainAction.Cordon, term: ULong) {
         val key = FleetKeys.DRAIN + action.drain.id
         if (context.transactions.isWritePending(key)) return
-        val some = idle(action.machines).take(context.transactions.budget.bulk(limits.txnOps - 1))
-        if (some.isEmpty()) return
-        val drain = action.drain.copy(cordoned = action.drain.cordoned + some.size)
-        val changes =
-            listOf(Change.Put(key, DrainCodec.encode(drain))) +
-                some.map { put(it.copy(cordon = drain.id, reservation = null)) }
-        commit(action.drain, some, changes) {
-            for (m in some) log.info("drain={} machine={} term={} takes no new work", drain.id, m.name, term)
-        }
+        val machines = writable(action.machines, limits.txnOps - 1)
+        if (machines.isEmpty()) return
+        val drain = action.drain.copy(cordoned = action.drain.cordoned + machines.size)
+        val cordons = machines.map { put(it.copy(cordon = drain.id, reservation = null)) }
+        val changes = listOf(Change.Put(key, DrainCodec.encode(drain))) + cordons
+        commit(action.drain, machines, changes, "machine_cordoned", term)
     }
 
     private fun retire(action: DrainAction.Retire, term: ULong) {
-        val some = idle(action.machines).take(context.transactions.budget.bulk(limits.txnOps))
-        if (some.isEmpty()) return
-        commit(action.drain, some, some.map { put(it.copy(phase = MachinePhase.DRAINING)) }) {
-            for (m in some) {
-                log.info(
-                    "drain={} machine={} term={} is empty, to be returned",
-                    action.drain.id,
-                    m.name,
-                    term,
-                )
-            }
-        }
+        val machines = writable(action.machines, limits.txnOps)
+        if (machines.isEmpty()) return
+        val changes = machines.map { put(it.copy(phase = MachinePhase.DRAINING)) }
+        commit(action.drain, machines, changes, "machine_retired", term)
     }
 
     private fun uncordon(action: DrainAction.Uncordon, term: ULong) {
-        val some = idle(action.machines).take(context.transactions.budget.bulk(limits.txnOps))
-        if (some.isEmpty()) return
-        commit(action.drain, some, some.map { put(it.copy(cordon = null)) }) {
-            for (m in some) log.info("drain={} machine={} term={} takes new work again", action.drain.id, m.name, term)
-        }
+        val machines = writable(action.machines, limits.txnOps)
+        if (machines.isEmpty()) return
+        commit(action.drain, machines, machines.map { put(it.copy(cordon = null)) }, "machine_uncordoned", term)
     }
 
-    private fun idle(machines: List<Machine>) = machines.filter {
-        !context.transactions.isWritePending(
-            StoreKeys.MACHINE + it.name,
-        )
-    }
+    /** Those of [machines] without a write under way, as many as a bulk transaction of [maxChanges] takes now. */
+    private fun writable(machines: List<Machine>, maxChanges: Int): List<Machine> = machines
+        .filter { !context.transactions.isWritePending(StoreKeys.MACHINE + it.name) }
+        .take(context.transactions.budget.bulk(maxChanges))
 
     private fun put(machine: Machine) = Change.Put(StoreKeys.MACHINE + machine.name, FleetCodec.encode(machine))
 
-    private fun commit(drain: DrainRecord, machines: List<Machine>, changes: List<Change>, done: () -> Unit) {
+    /** Commits [changes] of [machines], and logs [event] for each of them when they are committed. */
+    private fun commit(
+        drain: DrainRecord,
+        machines: List<Machine>,
+        changes: List<Change>,
+        event: String,
+        term: ULong,
+    ) {
         val conditions = TaskEventCommitter.fence(context) +
             (FleetKeys.DRAIN + drain.id to drain.version) +
             machines.associate { StoreKeys.MACHINE + it.name to it.version }
-        context.transactions.submit(WriteCause.FLEET, Transaction(conditions, changes)) {
-            if (it is TransactionOutcome.Committed) done()
+        context.transactions.submit(WriteCause.FLEET, Transaction(conditions, changes)) { outcome ->
+            if (outcome is TransactionOutcome.Committed) {
+                for (machine in machines) {
+                    log.info("event={} drain={} machine={} term={}", event, drain.id, machine.name, term)
+                }
+            }
         }
     }
 
-    /** Stops as many units as one transaction holds, and charges each of their tasks to its team's ledger. */
-    private fun step(snapshot: FleetSnapshot, action: DrainAction.Step, term: ULong) {
+    /** Evicts as many units as one transaction holds, and charges each of their tasks to its team's ledger. */
+    private fun evict(snapshot: FleetSnapshot, action: DrainAction.Evict, term: ULong) {
         var units = action.units
         while (units.isNotEmpty()) {
-            val txn = DrainSteps(snapshot, term).transaction(action.drain, action.machines, units)
-            if (TransactionSize.fault(txn, limits) != null) {
-                // The first of two units may be as large as both; the last halving leaves one.
-                units = units.take(units.size / 2)
-                continue
+            val transaction = EvictionTransaction(snapshot, term).build(action.drain, action.machines, units)
+            if (TransactionSize.fault(transaction, limits) == null) {
+                if (transaction.changes.any { context.transactions.isWritePending(it.key) }) return
+                return submitEviction(action, units, transaction, term)
             }
-            if (txn.changes.any { context.transactions.isWritePending(it.key) }) return
-            send(action, units, txn, term)
-            return
+            // Halved down to a single unit, since the first unit alone may be larger than all others together.
+            units = units.take(units.size / 2)
         }
-        log.error("drain={} machines={} nothing on them fits one transaction", action.drain.id, names(action))
+        log.error("event=eviction_too_large drain={} machines={}", action.drain.id, names(action))
     }
 
-    private fun send(action: DrainAction.Step, units: List<DisruptionUnit>, txn: Transaction, term: ULong) {
-        context.transactions.submit(WriteCause.GANG, txn) { outcome ->
-            if (outcome !is TransactionOutcome.Committed) {
-                log.debug("drain={} machines={} step outcome={}", action.drain.id, names(action), outcome)
-                return@submit
-            }
-            for (u in units) {
-                log.info(
-                    "drain={} machines={} job={} tasks={} team={} term={} charged, to stop",
+    private fun submitEviction(
+        action: DrainAction.Evict,
+        units: List<DisruptionUnit>,
+        transaction: Transaction,
+        term: ULong,
+    ) {
+        context.transactions.submit(WriteCause.GANG, transaction) { outcome ->
+            if (outcome is TransactionOutcome.Committed) {
+                logEvicted(action, units, term)
+            } else {
+                log.debug(
+                    "event=eviction_not_committed drain={} machines={} outcome={}",
                     action.drain.id,
                     names(action),
-                    u.job.id,
-                    u.tasks,
-                    u.team,
-                    term,
+                    outcome,
                 )
             }
         }
     }
 
-    private fun names(action: DrainAction.Step) = action.machines.map { it.name }
-
-    /** Drains that are over are kept for a while, the latest of them. */
-    private fun forgetOld(snapshot: FleetSnapshot) {
-        val over = snapshot.drains.values.filter { it.phase.isOver }
-        if (over.size <= KEPT_DRAINS) return
-        val old = over.sortedBy { it.orderedMs }.take(minOf(over.size - KEPT_DRAINS, limits.txnOps))
-            .filter { !context.transactions.isWritePending(FleetKeys.DRAIN + it.id) }
-        if (old.isEmpty()) return
-        val conditions = TaskEventCommitter.fence(context) + old.associate { FleetKeys.DRAIN + it.id to it.version }
-        context.transactions.submit(
-            WriteCause.ROOM,
-            Transaction(
-                conditions,
-                old.map {
-                    Change.Delete(
-                        FleetKeys.DRAIN + it.id,
-                    )
-                },
-            ),
-        )
-    }
-
-    companion object {
-        private val log = LoggerFactory.getLogger("flaxfield.drain")
-
-        /** Records of drains that are over: enough for an operator to look back on some months of replacements. */
-        private const val KEPT_DRAINS = 100
-
-        /** What an entry of a ledger takes as the state service counts it: job, task, attempt and drain. */
-        private const val ENTRY_BYTES = 80
-
-        /** The part of a value that entries may fill. */
-        private const val FILL = 0.75
-
-        /** How many disrupted tasks of one team fit one value. */
-        fun mostEntries(limits: StateLimits): Int =
-            (limits.valueKb * BYTES_PER_KIB * FILL / ENTRY_BYTES).toInt().coerceAtLeast(1)
-    }
-}
-
-/** Builds the transaction of one step. Pure: the same snapshot gives the same transaction. */
-class DrainSteps(private val snapshot: FleetSnapshot, private val term: ULong) {
-    /**
-     * Stops [units] and charges them. Its conditions are the term, the drain's record, the ledgers of the teams, the
-     * loss mark of each member, the job records and the machines: a charge of another drain, a loss, or an operator's
-     * pause committed in between makes all of it fail.
-     */
-    fun transaction(drain: DrainRecord, machines: List<Machine>, units: List<DisruptionUnit>): Transaction {
-        val conditions = HashMap<String, ULong>()
-        val changes = ArrayList<Change>()
-        conditions[StoreKeys.ASSIGNMENT] = term
-        conditions[FleetKeys.DRAIN + drain.id] = drain.version
-        for (m in machines) conditions[StoreKeys.MACHINE + m.name] = m.version
-        for (member in snapshot.assignment?.members.orEmpty()) {
-            conditions[FleetKeys.LOSS + member.name] = snapshot.lossMarks[member.name] ?: 0uL
-        }
-        for ((id, list) in units.groupBy { it.job.id }) {
-            val job = snapshot.jobs[id] ?: continue
-            val stop = TaskEventCommitter.write(job, job.stop(running(job, list)), term)
-            conditions += stop.conditions
-            changes += stop.changes
-        }
-        for ((team, list) in units.groupBy { it.team }) {
-            val ledger = snapshot.ledgers[team] ?: Ledger(team, emptyMap(), 0uL)
-            val charged = list.flatMap { u -> running(u.job, listOf(u)).map { entry(drain, u.job, it) } }
-            val key = FleetKeys.LEDGER + team
-            conditions[key] = ledger.version
-            changes += Change.Put(key, DrainCodec.encode(ledger.copy(entries = ledger.entries + charged)))
+    private fun logEvicted(action: DrainAction.Evict, units: List<DisruptionUnit>, term: ULong) {
+        for (unit in units) {
+            log.info(
+                "event=tasks_evicted drain={} machines={} job={} tasks={} team={} term={}",
+                action.drain.id,
+                names(action),
+                unit.job.id,
+                unit.tasks,
+                unit.team,
+                term,
+            )
         }
-        return Transaction(conditions, changes)
     }
 
-    private fun running(job: Job, units: List<DisruptionUnit>) = units.flatMap { it.tasks }.filter {
-        job.placed(it)?.stopping ==
-            false
-    }
+    private fun names(action: DrainAction.Evict) = action.machines.map { it.name }
 
-    private fun entry(drain: DrainRecord, job: Job, index: Int) =
-        TaskId(job.id, index) to Disruption(job.placed(index)?.attempt ?: 0L, drain.id)
+    private companion object {
+        val log = LoggerFactory.getLogger("flaxfield.drain")
+    }
 }
--- a/src/main/kotlin/flaxfield/drain/DrainRecords.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainRecords.kt
@@ -2,7 +2,7 @@
 
 import flaxfield.fleet.Machine
 
-/** Which machines a drain is for: all conditions that are given must hold. */
+/** Which machines a drain is for: all conditions that are set must hold. */
 data class Selector(
     /** Names of machines; empty for any. */
     val machines: Set<String>,
@@ -10,11 +10,11 @@
     val zone: String?,
     /** Only machines rented longer ago than this. */
     val olderThanS: Double?,
-    /** Only this share of those that fit, the oldest first. */
+    /** Only this percentage of those that match, the oldest first. */
     val percent: Double?,
 ) {
-    /** Whether [machine], as it stood when the drain was ordered at [orderedMs], is meant. */
-    fun fits(machine: Machine, orderedMs: Long): Boolean = (machines.isEmpty() || machine.name in machines) &&
+    /** Whether [machine] is selected by a drain that was ordered at [orderedMs]. */
+    fun matches(machine: Machine, orderedMs: Long): Boolean = (machines.isEmpty() || machine.name in machines) &&
         (machineType == null || machine.machineType == machineType) &&
         (zone == null || machine.zone == zone) &&
         machine.sinceMs + ((olderThanS ?: 0.0) * MILLIS).toLong() <= orderedMs
@@ -24,23 +24,23 @@
     }
 }
 
-/** What an operator has last said of a drain, or what has become of it. */
+/** The state of a drain, by the operator's last order or by its outcome. */
 enum class DrainPhase {
     ACTIVE,
     PAUSED,
 
-    /** Cancelled by an operator; some machines are still kept from new work. */
+    /** Cancelled by an operator; some machines are still cordoned. */
     CANCELLING,
     CANCELLED,
     DONE,
     FAILED,
     ;
 
-    /** Nothing will change any more. */
-    val isOver: Boolean get() = this == CANCELLED || this == DONE || this == FAILED
+    /** Whether the drain has reached a final phase. */
+    val isFinished: Boolean get() = this == CANCELLED || this == DONE || this == FAILED
 }
 
-/** An operator's order to replace machines, and how far it is. The machines themselves carry its id as their cordon. */
+/** An operator's order to drain machines, and its progress. The machines carry its id as their cordon. */
 data class DrainRecord(
     val id: String,
     val selector: Selector,
@@ -48,9 +48,9 @@
     val phase: DrainPhase,
     /** How many machines are to be drained; null until the leader has counted them. */
     val target: Int?,
-    /** How many have been kept from new work so far. */
+    /** How many machines have been cordoned so far. */
     val cordoned: Int,
-    /** Why it failed; empty otherwise. */
+    /** Why the drain failed; empty otherwise. */
     val note: String,
     val version: ULong,
 )
@@ -58,8 +58,8 @@
 /** One task of one job. */
 data class TaskId(val job: String, val index: Int)
 
-/** A task that a drain has stopped: the attempt that was stopped, and the drain. */
+/** A task evicted by a drain: the attempt that was stopped, and the drain's id. */
 data class Disruption(val attempt: Long, val drain: String)
 
-/** The tasks of one team that drains have stopped and that are not yet known to run again. */
+/** The tasks of one team that drains have evicted and that are not yet proven to run again. */
 data class Ledger(val team: String, val entries: Map<TaskId, Disruption>, val version: ULong)
--- /dev/null
+++ b/src/main/kotlin/flaxfield/drain/DrainedMachines.kt
@@ -0,0 +1,38 @@
+package flaxfield.drain
+
+import flaxfield.fleet.Machine
+
+/** The machines that each drain has cordoned, and the evictable tasks on them. */
+internal class DrainedMachines(private val snapshot: FleetSnapshot) {
+    private val byDrain: Map<String, List<Machine>> = snapshot.machines.values
+        .filter { it.cordon != null }
+        .groupBy { it.cordon.orEmpty() }
+
+    /** How many machines are cordoned by all drains together. */
+    val count: Int get() = byDrain.values.sumOf { it.size }
+
+    private val unitsByMachine: Map<String, List<DisruptionUnit>> by lazy(LazyThreadSafetyMode.NONE, ::findUnits)
+
+    /** The machines that [drain] has cordoned. */
+    fun of(drain: DrainRecord): List<Machine> = byDrain[drain.id].orEmpty()
+
+    /** What is placed on [machine]. */
+    fun units(machine: Machine): List<DisruptionUnit> = unitsByMachine[machine.name].orEmpty()
+
+    private fun findUnits(): Map<String, List<DisruptionUnit>> {
+        val drained = byDrain.values.flatMapTo(HashSet()) { machines -> machines.map { it.name } }
+        val result = HashMap<String, MutableList<DisruptionUnit>>()
+        for (job in snapshot.jobs.values) {
+            val byMachine = job.allPlaced().filter { it.machineName in drained }.groupBy { it.machineName }
+            for ((machineName, placements) in byMachine) {
+                val units = result.getOrPut(machineName) { ArrayList() }
+                if (job.isGang) {
+                    units += DisruptionUnit(job, job.allPlaced().map { it.index }.sorted().toList())
+                } else {
+                    for (placement in placements) units += DisruptionUnit(job, listOf(placement.index))
+                }
+            }
+        }
+        return result
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/flaxfield/drain/FinishedDrainCleaner.kt
@@ -0,0 +1,31 @@
+package flaxfield.drain
+
+import flaxfield.controller.ControllerContext
+import flaxfield.jobs.TaskEventCommitter
+import flaxfield.store.Change
+import flaxfield.store.Transaction
+import flaxfield.store.WriteCause
+
+/** Deletes the records of the oldest finished drains; the latest ones are kept for operators to look up. */
+internal class FinishedDrainCleaner(private val context: ControllerContext) {
+    /** Deletes what [snapshot] holds beyond the records that are kept, as many as one transaction takes. */
+    fun deleteOldest(snapshot: FleetSnapshot) {
+        val finished = snapshot.drains.values.filter { it.phase.isFinished }
+        if (finished.size <= KEPT_DRAINS) return
+        val excess = minOf(finished.size - KEPT_DRAINS, context.settings.stateLimits.txnOps)
+        val oldest = finished.sortedBy { it.orderedMs }.take(excess)
+            .filter { !context.transactions.isWritePending(FleetKeys.DRAIN + it.id) }
+        if (oldest.isEmpty()) return
+        val versions = oldest.associate { FleetKeys.DRAIN + it.id to it.version }
+        val transaction = Transaction(
+            TaskEventCommitter.fence(context) + versions,
+            oldest.map { Change.Delete(FleetKeys.DRAIN + it.id) },
+        )
+        context.transactions.submit(WriteCause.ROOM, transaction)
+    }
+
+    private companion object {
+        /** Enough to look back on some months of replacements. */
+        const val KEPT_DRAINS = 100
+    }
+}
--- a/src/main/kotlin/flaxfield/operator/Answers.kt
+++ b/src/main/kotlin/flaxfield/operator/Answers.kt
@@ -130,36 +130,36 @@
     /** A stable word for scripts. */
     fun word(reason: WaitReason): String = when (reason) {
         is WaitReason.WithoutConfig -> "without_fleet_file"
-        is WaitReason.NoRepeat -> "no_repeat"
+        is WaitReason.RestartForbidden -> "no_repeat"
         is WaitReason.LargerThanBudget -> "larger_than_budget"
-        is WaitReason.BudgetSpent -> "budget_spent"
+        is WaitReason.BudgetExhausted -> "budget_spent"
         is WaitReason.OlderDrainFirst -> "older_drain_first"
         is WaitReason.Stopping -> "stopping"
-        is WaitReason.GangUnsettled -> "gang_unsettled"
+        is WaitReason.GangInTransition -> "gang_unsettled"
         is WaitReason.NotReporting -> "not_reporting"
         is WaitReason.LedgerFull -> "ledger_full"
-        is WaitReason.MostCordoned -> "most_cordoned"
+        is WaitReason.CordonLimitReached -> "most_cordoned"
     }
 
     /** What a person should know. */
     fun sentence(reason: WaitReason): String = when (reason) {
         is WaitReason.WithoutConfig -> "controllers without a fleet file: ${reason.members.joinToString()}"
-        is WaitReason.NoRepeat ->
+        is WaitReason.RestartForbidden ->
             "${reason.job} of class ${reason.jobClass} ends by itself: the class is repeated ${repeated(reason.policy)}"
         is WaitReason.LargerThanBudget ->
             "${reason.job} takes ${amount(
                 reason.cost,
             )}, all that team ${reason.team} may lack is ${amount(reason.allowed)}"
-        is WaitReason.BudgetSpent ->
+        is WaitReason.BudgetExhausted ->
             "team ${reason.team} lacks ${amount(
                 reason.unavailable,
             )} of ${amount(reason.allowed)}, the next step takes ${amount(reason.cost)}"
         is WaitReason.OlderDrainFirst -> "drain ${reason.drain} waits for the budget of team ${reason.team}"
         is WaitReason.Stopping -> "${reason.tasks} tasks have been told to stop"
-        is WaitReason.GangUnsettled -> "gang ${reason.job} is being stopped or started"
+        is WaitReason.GangInTransition -> "gang ${reason.job} is being stopped or started"
         is WaitReason.NotReporting -> "its worker is ${reason.state.name.lowercase()}"
         is WaitReason.LedgerFull -> "the ledger of team ${reason.team} holds ${reason.entries} tasks"
-        is WaitReason.MostCordoned -> "${reason.most} machines are kept from new work already"
+        is WaitReason.CordonLimitReached -> "${reason.limit} machines are kept from new work already"
     }
 
     private fun repeated(policy: RepeatPolicy) = when (policy) {
--- a/src/main/kotlin/flaxfield/operator/OperatorService.kt
+++ b/src/main/kotlin/flaxfield/operator/OperatorService.kt
@@ -1,10 +1,10 @@
 package flaxfield.operator
 
 import flaxfield.drain.DrainOrder
-import flaxfield.drain.DrainReconciler
 import flaxfield.drain.DrainRecord
 import flaxfield.drain.FleetControl
 import flaxfield.drain.FleetSnapshot
+import flaxfield.drain.LedgerLimits
 import flaxfield.drain.OrderFault
 import flaxfield.drain.OrderResult
 import flaxfield.drain.Selector
@@ -168,7 +168,7 @@
             )
         }
 
-    private fun answers(s: FleetSnapshot) = Answers(s, DrainReconciler.mostEntries(settings.stateLimits))
+    private fun answers(s: FleetSnapshot) = Answers(s, LedgerLimits.maxEntries(settings.stateLimits))
 
     private fun needFiles(s: FleetSnapshot) {
         val without = s.membersWithoutConfig()
--- a/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
@@ -69,7 +69,7 @@
     private fun array(id: String, team: String, vararg where: Pair<Int, String>, jobClass: String = "class") =
         Samples.job(Samples.spec(id = id, team = team, taskCount = 8, jobClass = jobClass)).on(*where)
 
-    private fun steps(s: FleetSnapshot) = DrainPlanner(s).plan().actions.filterIsInstance<DrainAction.Step>()
+    private fun steps(s: FleetSnapshot) = DrainPlanner(s).plan().actions.filterIsInstance<DrainAction.Evict>()
         .map { step ->
             step.machines.joinToString(" ") { it.name } to
                 step.units.flatMap { u -> u.tasks.map { "${u.job.id}/$it" } }
@@ -142,7 +142,7 @@
             ),
         )
         for ((what, s) in cases) assertEquals(if (what == "nothing") 1 else 0, steps(s).size, what)
-        assertTrue(waits(cases.getValue("lost")).getValue("h-1") is WaitReason.BudgetSpent)
+        assertTrue(waits(cases.getValue("lost")).getValue("h-1") is WaitReason.BudgetExhausted)
     }
 
     @Test
@@ -202,8 +202,8 @@
         val other = array("job-4", "blue", 0 to "h-1", 1 to "h-2", 2 to "h-3")
         val s = snapshot(listOf(deed, unsaved, large, other), listOf(machine("h-1"), machine("h-2"), machine("h-3")))
         assertEquals(emptyList<Any>(), steps(s))
-        assertEquals(WaitReason.NoRepeat("job-1", "deed", RepeatPolicy.NEVER), waits(s).getValue("h-1"))
-        assertEquals(WaitReason.NoRepeat("job-2", "class", RepeatPolicy.CHECKPOINTED), waits(s).getValue("h-2"))
+        assertEquals(WaitReason.RestartForbidden("job-1", "deed", RepeatPolicy.NEVER), waits(s).getValue("h-1"))
+        assertEquals(WaitReason.RestartForbidden("job-2", "class", RepeatPolicy.CHECKPOINTED), waits(s).getValue("h-2"))
         assertEquals(WaitReason.LargerThanBudget("job-3", "red", capacity(3), capacity(2)), waits(s).getValue("h-3"))
     }
 
@@ -213,9 +213,9 @@
         fun actions(d: DrainRecord, m: List<Machine> = machines) =
             DrainPlanner(snapshot(emptyList(), m, listOf(d))).plan().actions
         // A machine that came after the order is not meant.
-        assertEquals(2, (actions(drain("d-1", target = null, cordoned = 0)).single() as DrainAction.Count).target)
+        assertEquals(2, (actions(drain("d-1", target = null, cordoned = 0)).single() as DrainAction.SetTarget).target)
         val half = drain("d-1", target = null, cordoned = 0).copy(selector = any.copy(percent = 50.0))
-        assertEquals(1, (actions(half).single() as DrainAction.Count).target)
+        assertEquals(1, (actions(half).single() as DrainAction.SetTarget).target)
         val cordon = actions(drain("d-1", target = 1, cordoned = 0)).single() as DrainAction.Cordon
         assertEquals(listOf("h-1"), cordon.machines.map { it.name })
         val held = listOf(machine("h-1"), machine("h-2"))
@@ -252,8 +252,8 @@
     fun `a step's conditions hold all that it was planned on`() {
         val job = array("job-1", "red", 0 to "h-1")
         val s = snapshot(listOf(job), listOf(machine("h-1"))).copy(lossMarks = persistentHashMapOf("n-0" to 7uL))
-        val step = DrainPlanner(s).plan().actions.filterIsInstance<DrainAction.Step>().single()
-        val txn = DrainSteps(s, 5uL).transaction(step.drain, step.machines, step.units)
+        val step = DrainPlanner(s).plan().actions.filterIsInstance<DrainAction.Evict>().single()
+        val txn = EvictionTransaction(s, 5uL).build(step.drain, step.machines, step.units)
         val wanted = mapOf(
             "live/assignment" to 5uL,
             "live/fleet/drain/d-1" to 1uL,
--- a/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
@@ -126,7 +126,7 @@
         day.at(30.0) { day.order(DrainOrder.Start("d-1", Selector(emptySet(), "big", null, null, null))) }
         day.run(100.0)
         val waits = DrainPlanner(day.snapshot()).plan().waits.getValue("d-1").values
-        assertTrue(waits.any { it is WaitReason.NoRepeat && it.job == "job-1" && it.policy == RepeatPolicy.NEVER }, "$waits")
+        assertTrue(waits.any { it is WaitReason.RestartForbidden && it.job == "job-1" && it.policy == RepeatPolicy.NEVER }, "$waits")
         day.run(END_S)
         assertEquals("done", day.phase("d-1"))
         assertEquals(emptySet<String>(), day.workers.halts.keys.intersect(setOf("job-1", "job-2")), "${day.workers.halts}")
