--- a/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
@@ -1,9 +1,9 @@
 package flaxfield.arrays
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobAdmission
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.quota.TeamUsage
 import flaxfield.settings.Team
 import flaxfield.store.Change
@@ -29,7 +29,7 @@
         val placement = findPlacement(job, candidates, usage)
         if (placement.isEmpty()) return 0
         usage.add(team.name, job.spec.taskResources * placement.size)
-        val isFewTasks = placement.size < minOf(TaskEventCommitter.FEW, job.pendingCount)
+        val isFewTasks = placement.size < minOf(JobTransactions.BULK_TASKS, job.pendingCount)
         val cause = if (isFewTasks) WriteCause.TRICKLE else WriteCause.ARRAY
         if (context.transactions.mayWrite(cause, if (team.limited) 2 else 1)) {
             send(job, placement, team, cause, term)
@@ -52,7 +52,7 @@
         val limits = ArrayPlacement.Limits(
             tasks,
             MAX_MACHINES_PER_PLACEMENT,
-            TaskEventCommitter.chunksAtOnce(context.settings.stateLimits),
+            JobTransactions.maxChunks(context.settings.stateLimits),
         )
         val topology = TopologyConstraint(job.spec, placedZones(job))
         return ArrayPlacement.place(job, candidates, topology, turns.firstTask(job), limits) {
@@ -82,7 +82,7 @@
 
     private fun send(job: Job, placement: Map<Int, PlacementCandidate>, team: Team, cause: WriteCause, term: ULong) {
         val next = job.place(placement.mapValues { (_, candidate) -> candidate.target() })
-        val base = TaskEventCommitter.write(job, next, term)
+        val base = JobTransactions.update(job, next, term)
         val transaction = withFences(base, job, placement, team)
         val sent = context.transactions.submit(cause, transaction) { outcome ->
             logOutcome(next, placement, term, outcome)
--- a/src/main/kotlin/flaxfield/arrays/InitialPlacement.kt
+++ b/src/main/kotlin/flaxfield/arrays/InitialPlacement.kt
@@ -1,8 +1,8 @@
 package flaxfield.arrays
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.StoreKeys
 
 /** A job as it is submitted, with its tasks placed, and the conditions that this rests on. */
@@ -33,7 +33,7 @@
         val placed = job.place(placement.mapValues { (_, candidate) -> candidate.target() })
         val machineNames = placement.values.map { it.machine.name }
         inFlight.add(job.id, listOf(StoreKeys.JOB + job.id), machineNames, job.spec.taskResources)
-        val conditions = TaskEventCommitter.write(job, placed, term).conditions + machineVersions(placement.values)
+        val conditions = JobTransactions.update(job, placed, term).conditions + machineVersions(placement.values)
         return InitialPlacement(placed, conditions)
     }
 
--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -29,7 +29,7 @@
     }
 
     private fun evictForGangs(term: ULong) {
-        val reserved = context.view.claimed.mapNotNull { context.view.machines[it] }
+        val reserved = context.view.reservedMachines.mapNotNull { context.view.machines[it] }
             .filter { context.shards.owns(it) && context.view.activeReservation(it)?.evict ?: false }
         if (reserved.isEmpty()) return
         val usage = context.scheduling.teamUsage()
--- a/src/main/kotlin/flaxfield/controller/ControllerModules.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerModules.kt
@@ -46,7 +46,7 @@
     val membership = MembershipManager(context)
     val gangs = GangScheduler(context)
     val arrays = ArrayScheduler(context, workerHealth, halts)
-    val jobs = JobRequestHandler(context, arrays::begin)
+    val jobs = JobRequestHandler(context, arrays::placeOnSubmission)
     val fleet = FleetReconciler(context, CloudClient(transports.cloud, CLOUD_TIMEOUT_MS), taskEvents)
     val stalls = StallMonitor(context, taskEvents)
     val reflector = StoreReflector(context, replica, jobs, workerHealth)
--- a/src/main/kotlin/flaxfield/controller/PeerMessageRouter.kt
+++ b/src/main/kotlin/flaxfield/controller/PeerMessageRouter.kt
@@ -11,7 +11,7 @@
         when (val message = command.message) {
             is PeerMessage.PeerHeartbeat -> peers.pulse(message)
             is PeerMessage.ForwardedHeartbeat ->
-                heartbeats.relayed(message.heartbeat, forwardedResponder(message.id, command.answer))
+                heartbeats.forwardedHeartbeat(message.heartbeat, forwardedResponder(message.id, command.answer))
             // Answers come back on the connection that the heartbeat was forwarded over, not through the queue.
             is PeerMessage.ForwardedResponse -> Unit
         }
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -1,10 +1,10 @@
 package flaxfield.drain
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.fleet.FleetCodec
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -52,7 +52,7 @@
         val key = FleetKeys.DRAIN + drain.id
         if (context.transactions.isWritePending(key)) return
         val transaction = Transaction(
-            TaskEventCommitter.fence(context) + (key to drain.version),
+            JobTransactions.assignmentFence(context) + (key to drain.version),
             listOf(Change.Put(key, DrainCodec.encode(drain))),
         )
         context.transactions.submit(WriteCause.FLEET, transaction) { outcome ->
@@ -108,7 +108,7 @@
         event: String,
         term: ULong,
     ) {
-        val conditions = TaskEventCommitter.fence(context) +
+        val conditions = JobTransactions.assignmentFence(context) +
             (FleetKeys.DRAIN + drain.id to drain.version) +
             machines.associate { StoreKeys.MACHINE + it.name to it.version }
         context.transactions.submit(WriteCause.FLEET, Transaction(conditions, changes)) { outcome ->
--- a/src/main/kotlin/flaxfield/drain/DrainRecords.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainRecords.kt
@@ -1,5 +1,6 @@
 package flaxfield.drain
 
+import flaxfield.jobs.TaskId
 import flaxfield.fleet.Machine
 
 /** Which machines a drain is for: all conditions that are set must hold. */
@@ -55,9 +56,6 @@
     val version: ULong,
 )
 
-/** One task of one job. */
-data class TaskId(val job: String, val index: Int)
-
 /** A task evicted by a drain: the attempt that was stopped, and the drain's id. */
 data class Disruption(val attempt: Long, val drain: String)
 
--- a/src/main/kotlin/flaxfield/drain/EvictionBatch.kt
+++ b/src/main/kotlin/flaxfield/drain/EvictionBatch.kt
@@ -1,5 +1,6 @@
 package flaxfield.drain
 
+import flaxfield.jobs.TaskId
 import flaxfield.fleet.Machine
 
 /** The evictions that one machine could contribute to a batch. */
--- a/src/main/kotlin/flaxfield/drain/EvictionTransaction.kt
+++ b/src/main/kotlin/flaxfield/drain/EvictionTransaction.kt
@@ -1,8 +1,9 @@
 package flaxfield.drain
 
+import flaxfield.jobs.TaskId
+import flaxfield.jobs.JobTransactions
 import flaxfield.fleet.Machine
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -25,7 +26,7 @@
         }
         for ((id, jobUnits) in units.groupBy { it.job.id }) {
             val job = snapshot.jobs[id] ?: continue
-            val stop = TaskEventCommitter.write(job, job.stop(runningTasks(job, jobUnits)), term)
+            val stop = JobTransactions.update(job, job.stop(runningTasks(job, jobUnits)), term)
             conditions += stop.conditions
             changes += stop.changes
         }
--- a/src/main/kotlin/flaxfield/drain/FinishedDrainCleaner.kt
+++ b/src/main/kotlin/flaxfield/drain/FinishedDrainCleaner.kt
@@ -1,7 +1,7 @@
 package flaxfield.drain
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.Transaction
 import flaxfield.store.WriteCause
@@ -18,7 +18,7 @@
         if (oldest.isEmpty()) return
         val versions = oldest.associate { FleetKeys.DRAIN + it.id to it.version }
         val transaction = Transaction(
-            TaskEventCommitter.fence(context) + versions,
+            JobTransactions.assignmentFence(context) + versions,
             oldest.map { Change.Delete(FleetKeys.DRAIN + it.id) },
         )
         context.transactions.submit(WriteCause.ROOM, transaction)
--- a/src/main/kotlin/flaxfield/drain/LedgerReleaser.kt
+++ b/src/main/kotlin/flaxfield/drain/LedgerReleaser.kt
@@ -1,8 +1,9 @@
 package flaxfield.drain
 
+import flaxfield.jobs.TaskId
+import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -31,7 +32,7 @@
         val versions = jobs.associate { StoreKeys.JOB + it to (snapshot.jobs[it]?.version ?: 0uL) }
         val remaining = ledger.copy(entries = ledger.entries - released.toSet())
         val transaction = Transaction(
-            TaskEventCommitter.fence(context) + versions + (key to ledger.version),
+            JobTransactions.assignmentFence(context) + versions + (key to ledger.version),
             listOf(Change.Put(key, DrainCodec.encode(remaining))),
         )
         context.transactions.submit(WriteCause.ROOM, transaction) { outcome ->
--- a/src/main/kotlin/flaxfield/gangs/GangReservations.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangReservations.kt
@@ -1,5 +1,6 @@
 package flaxfield.gangs
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.arrays.PlacementCandidate
 import flaxfield.controller.ControllerContext
@@ -7,7 +8,6 @@
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachineReservation
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.quota.TeamUsage
 import flaxfield.settings.Team
 import flaxfield.store.Change
@@ -44,7 +44,7 @@
     /** The machines with a valid reservation, by the gang that it is for. */
     fun activeByGang(): Map<String, List<Machine>> {
         val view = context.view
-        val machines = view.claimed.mapNotNull { view.machines[it] }.filter { view.activeReservation(it) != null }
+        val machines = view.reservedMachines.mapNotNull { view.machines[it] }.filter { view.activeReservation(it) != null }
         val byGang = machines.groupBy { it.reservation?.job.orEmpty() }
         reservedSinceNs.keys.retainAll(byGang.keys)
         return byGang
@@ -86,7 +86,7 @@
     }
 
     private fun reservationOf(gang: Job, tasks: Map<Machine, Int>, evict: Boolean, term: ULong): Transaction {
-        val conditions = HashMap(TaskEventCommitter.fence(context))
+        val conditions = HashMap(JobTransactions.assignmentFence(context))
         val changes = tasks.map { (machine, count) ->
             conditions[StoreKeys.MACHINE + machine.name] = machine.version
             val reservation = MachineReservation(gang.id, term, count, evict, gang.nextGangAttempt())
@@ -145,7 +145,7 @@
     }
 
     private fun commitOf(gang: Job, placed: Job, machines: List<Machine>, team: Team, term: ULong): Transaction {
-        val base = TaskEventCommitter.write(gang, placed, term)
+        val base = JobTransactions.update(gang, placed, term)
         val conditions = HashMap(base.conditions)
         val changes = ArrayList(base.changes)
         // A reservation is void once its attempt is placed: the machines' records need no write of their own.
@@ -182,7 +182,7 @@
     }
 
     private fun releaseAndBackOff(gang: Job, machines: List<Machine>, reason: GangBackoffReason) {
-        val conditions = HashMap(TaskEventCommitter.fence(context))
+        val conditions = HashMap(JobTransactions.assignmentFence(context))
         val changes = machines.take(context.settings.stateLimits.txnOps).map { machine ->
             conditions[StoreKeys.MACHINE + machine.name] = machine.version
             Change.Put(StoreKeys.MACHINE + machine.name, FleetCodec.encode(machine.copy(reservation = null)))
--- a/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
+++ b/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
@@ -5,7 +5,7 @@
 import org.slf4j.LoggerFactory
 
 /** Why a job makes no progress. */
-enum class Stall { BACKS_OFF, WAITS_FOR_ROOM, WAITS_FOR_PROOF, RUNS, MACHINE_GONE }
+enum class Stall { BACKS_OFF, WAITS_FOR_RESOURCES, WAITS_FOR_PROOF, RUNS, MACHINE_GONE }
 
 /** Pure: what keeps a job from moving on. */
 object StallRules {
@@ -13,7 +13,7 @@
     fun reason(job: Job, nowMs: Long, known: (String) -> Boolean): Stall = when {
         job.allPlaced().any { !known(it.machineName) } -> Stall.MACHINE_GONE
         job.retryAtMs > nowMs -> Stall.BACKS_OFF
-        job.pendingCount > 0 -> Stall.WAITS_FOR_ROOM
+        job.pendingCount > 0 -> Stall.WAITS_FOR_RESOURCES
         job.cancelled || job.allPlaced().any { it.stopping } -> Stall.WAITS_FOR_PROOF
         else -> Stall.RUNS
     }
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -5,7 +5,7 @@
 import flaxfield.fleet.MachineReservation
 import flaxfield.fleet.MachineType
 import flaxfield.fleet.Rental
-import flaxfield.jobs.Chunk
+import flaxfield.jobs.JobChunk
 import flaxfield.jobs.Job
 import flaxfield.jobs.Resources
 import flaxfield.membership.Member
@@ -39,7 +39,7 @@
     val gangs: Set<String> = records.jobs.gangs
 
     /** Chunks whose head is not in the view, by `job/number`: listed before it, or left over by a finished job. */
-    val strayChunks: Map<String, Chunk> = records.jobs.strayChunks
+    val strayChunks: Map<String, JobChunk> = records.jobs.strayChunks
 
     /** The machines by name. */
     val machines: Map<String, Machine> = records.machines.byName
--- a/src/main/kotlin/flaxfield/store/JobRecords.kt
+++ b/src/main/kotlin/flaxfield/store/JobRecords.kt
@@ -1,7 +1,7 @@
 package flaxfield.store
 
 import flaxfield.codec.FieldMap
-import flaxfield.jobs.Chunk
+import flaxfield.jobs.JobChunk
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobCodec
 import flaxfield.jobs.Placement
@@ -22,7 +22,7 @@
     val byId = LinkedHashMap<String, Job>()
 
     /** Chunks without a head, by `job/number`: listed before their head, or left over by a finished job. */
-    val strayChunks = HashMap<String, Chunk>()
+    val strayChunks = HashMap<String, JobChunk>()
 
     /** The ids of jobs of which some task is to leave its machine: cancelled, or told to stop. */
     val halting = HashSet<String>()
@@ -75,8 +75,8 @@
     }
 
     /** Removes and returns, by number, the chunks of [id] that came before its head. */
-    private fun takeStrayChunks(id: String): Map<Int, Chunk> {
-        val taken = LinkedHashMap<Int, Chunk>()
+    private fun takeStrayChunks(id: String): Map<Int, JobChunk> {
+        val taken = LinkedHashMap<Int, JobChunk>()
         for (name in strayChunks.keys.filter { it.startsWith("$id/") }) {
             val chunk = strayChunks.remove(name) ?: continue
             taken[name.substringAfter('/').toInt()] = chunk
--- a/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
@@ -1,5 +1,6 @@
 package flaxfield.drain
 
+import flaxfield.jobs.TaskId
 import flaxfield.Samples
 import flaxfield.Samples.on
 import flaxfield.arrays.MachineHealth
--- a/src/test/kotlin/flaxfield/golden/StoredRecords.kt
+++ b/src/test/kotlin/flaxfield/golden/StoredRecords.kt
@@ -10,7 +10,7 @@
 import flaxfield.golden.GoldenCases.textOnly
 import flaxfield.jobs.FinishedJob
 import flaxfield.jobs.JobCodec
-import flaxfield.members.MemberCodec
+import flaxfield.membership.MemberCodec
 import flaxfield.store.StoreKeys
 import flaxfield.zones.AbandonCodec
 import flaxfield.zones.AbandonOrder
