--- a/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
+++ b/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
@@ -38,7 +38,7 @@
     /** Takes the part of the store's rate limits that this process's role gives it now. */
     fun updateBudgetShare(leadership: Leadership) {
         val members = view.assignment?.members?.size ?: 0
-        budget.share(RateShare.of(settings.size, members, leadership.mayAct(), leadership.isLeader()))
+        budget.setShare(RateShare.of(settings.size, members, leadership.mayAct(), leadership.isLeader()))
     }
 
     /** Whether a write of [key] is on its way or not yet in the view. */
--- a/src/test/kotlin/flaxfield/store/ClusterViewTest.kt
+++ b/src/test/kotlin/flaxfield/store/ClusterViewTest.kt
@@ -78,11 +78,11 @@
                 1uL,
             ),
         )
-        val m = Samples.machine("h")
+        val machine = Samples.machine("h")
         replica.apply(put(Samples.job().on(0 to "h", 1 to "g", 2 to "h").stop(listOf(0)), 2uL))
-        assertEquals(Resources(8.0, 2.0, 32.0), view.free(m))
+        assertEquals(Resources(8.0, 2.0, 32.0), view.free(machine))
         replica.apply(put(Samples.job().on(1 to "g"), 3uL))
-        assertEquals(Resources(16.0, 4.0, 64.0), view.free(m))
+        assertEquals(Resources(16.0, 4.0, 64.0), view.free(machine))
     }
 
     @Test
@@ -149,12 +149,12 @@
     @Test
     fun `a claim is void under another term, and once its gang is placed, cancelled or gone`() {
         val gang = Samples.job(Samples.spec(jobKind = JobKind.GANG, taskCount = 2))
-        val m = Samples.machine("h").copy(reservation = MachineReservation("job-1", 7uL, 1, false, 1))
+        val machine = Samples.machine("h").copy(reservation = MachineReservation("job-1", 7uL, 1, false, 1))
         fun held(job: Job?, term: Int = 7): Boolean = ClusterReplica().apply {
             val a = Member("a", "1", "north")
             apply(KeyUpdate(StoreKeys.ASSIGNMENT, stored(MemberCodec.encode(a, listOf(a))), term.toULong()))
             if (job != null) apply(put(job, 8uL))
-        }.view.activeReservation(m) != null
+        }.view.activeReservation(machine) != null
         val placed = gang.on(0 to "h", 1 to "g")
         val table = listOf(
             held(gang) to true,
--- a/src/test/kotlin/flaxfield/store/RateShareTest.kt
+++ b/src/test/kotlin/flaxfield/store/RateShareTest.kt
@@ -11,14 +11,14 @@
         // Rows: nodes in all, members under the assignment, and how many of these think that they lead.
         for (size in 1..5) {
             for (members in 1..size) {
-                val leader = RateShare.of(size, members, member = true, isLeader = true)
-                val other = RateShare.of(size, members, member = true, isLeader = false)
-                val transports = RateShare.of(size, members, member = false, isLeader = false)
-                val writes = leader.writes + other.writes * (members - 1) + transports.writes * (size - members)
-                val requests = leader.requests + other.requests * (members - 1) + transports.requests * (size - members)
+                val leader = RateShare.of(size, members, isMember = true, isLeader = true)
+                val other = RateShare.of(size, members, isMember = true, isLeader = false)
+                val outsider = RateShare.of(size, members, isMember = false, isLeader = false)
+                val writes = leader.writes + other.writes * (members - 1) + outsider.writes * (size - members)
+                val requests = leader.requests + other.requests * (members - 1) + outsider.requests * (size - members)
                 assertEquals(1.0, writes, 1e-9, "$size $members")
                 assertEquals(1.0, requests, 1e-9, "$size $members")
-                assertTrue(leader.writes >= other.writes && other.writes > transports.writes - 1e-9, "$size $members")
+                assertTrue(leader.writes >= other.writes && other.writes > outsider.writes - 1e-9, "$size $members")
             }
         }
     }
--- a/src/test/kotlin/flaxfield/store/StoreBudgetTest.kt
+++ b/src/test/kotlin/flaxfield/store/StoreBudgetTest.kt
@@ -10,26 +10,26 @@
 class StoreBudgetTest {
     @Test
     fun `the budget keeps room for what matters more`() {
-        val b = StoreBudget(StateLimits(100.0, 20.0, 16.0, 24), nodes = 2)
-        assertTrue(b.ample(1))
+        val budget = StoreBudget(StateLimits(100.0, 20.0, 16.0, 24), controllers = 2)
+        assertTrue(budget.ample(1))
         var summaries = 0
-        while (b.take(WriteCause.ROOM, 1, 1)) summaries++
+        while (budget.take(WriteCause.ROOM, 1, 1)) summaries++
         var commits = 0
-        while (b.take(WriteCause.GANG, 1, 1)) commits++
+        while (budget.take(WriteCause.GANG, 1, 1)) commits++
         var submits = 0
-        while (b.take(WriteCause.SUBMIT, 1, 1)) submits++
+        while (budget.take(WriteCause.SUBMIT, 1, 1)) submits++
         assertTrue(summaries in 6..8 && commits in 2..3 && submits in 3..5, "$summaries $commits $submits")
-        assertFalse(b.ample(1))
-        assertTrue(b.take(WriteCause.CANCEL, 1, 1))
-        assertTrue(b.take(WriteCause.LEASE, 0, 1))
-        assertFalse(b.take(WriteCause.ROOM, 1, 100_000_000))
-        assertTrue(b.take(WriteCause.ROOM, 1, 1_000_000_000))
+        assertFalse(budget.ample(1))
+        assertTrue(budget.take(WriteCause.CANCEL, 1, 1))
+        assertTrue(budget.take(WriteCause.LEASE, 0, 1))
+        assertFalse(budget.take(WriteCause.ROOM, 1, 100_000_000))
+        assertTrue(budget.take(WriteCause.ROOM, 1, 1_000_000_000))
     }
 
     @Test
     fun `asking the budget costs nothing and tells what taking would get`() {
         // Placements were built and refused at every turn: whoever writes asks before it builds.
-        val b = StoreBudget(StateLimits(100.0, 20.0, 16.0, 24), nodes = 2)
+        val budget = StoreBudget(StateLimits(100.0, 20.0, 16.0, 24), controllers = 2)
         val asked = listOf(
             WriteCause.ARRAY to 2,
             WriteCause.TRICKLE to 1,
@@ -42,9 +42,9 @@
         for (step in 1..60L) {
             val now = step * 40_000_000
             for ((cause, puts) in asked) {
-                val may = b.may(cause, puts, now)
-                assertEquals(may, b.may(cause, puts, now), "asked twice: $cause")
-                assertEquals(may, b.take(cause, puts, now), "$cause $puts at step $step")
+                val may = budget.may(cause, puts, now)
+                assertEquals(may, budget.may(cause, puts, now), "asked twice: $cause")
+                assertEquals(may, budget.take(cause, puts, now), "$cause $puts at step $step")
                 if (!may) refused++
             }
         }
