--- a/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
@@ -120,17 +120,17 @@
         outcome: TransactionOutcome,
     ) {
         if (outcome !is TransactionOutcome.Committed) {
-            log.debug("event=placement_failed job={} term={} outcome={}", next.id, term, outcome)
+            log.debug("event=placement_failed term={} job={} outcome={}", term, next.id, outcome)
             return
         }
         for ((task, candidate) in placement) {
             log.info(
-                "event=task_placed job={} task={} attempt={} machine={} term={}",
+                "event=task_placed term={} job={} task={} attempt={} machine={}",
+                term,
                 next.id,
                 task,
                 next.placed(task)?.attempt,
                 candidate.machine.name,
-                term,
             )
         }
     }
--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -24,7 +24,7 @@
         for (machine in context.shards.ownedMachines()) {
             if (machine.phase != MachinePhase.DRAINING) continue
             val tasks = context.view.on(machine.name).filter { !it.placed.stopping && !it.job.isGang }
-            halt(tasks, term, "${machine.name} is to be returned")
+            halt(tasks, term, "machine_returning:${machine.name}")
         }
     }
 
@@ -38,7 +38,7 @@
             val reservation = machine.reservation ?: continue
             val gang = context.view.jobs[reservation.job] ?: continue
             val victims = selectVictims(machine, gang, reservation.tasks, gang.id in guaranteed, usage)
-            halt(victims, term, "room for ${gang.id} on ${machine.name}")
+            halt(victims, term, "preempted_for_gang:${gang.id}")
         }
     }
 
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
@@ -11,48 +11,57 @@
 import flaxfield.workers.WorkerHealth
 import flaxfield.zones.ZoneCoverage
 
-/** Tells the leader how the machines of this node's part stand. */
+/**
+ * Publishes the status of this controller's machines to the leader, in pages. A page is written when a machine's state
+ * or incarnation changes, and for its images alone less often. Owned by the owner thread.
+ */
 class ShardSummaryPublisher(private val context: ControllerContext, private val workerHealth: WorkerHealth) {
     private var pages = 1
-    private var pagesTerm: ULong? = null
-    private val sent = HashMap<Int, ShardSummary>()
+    private var publishedTerm: ULong? = null
+
+    /** What was written last under [publishedTerm], by page. */
+    private val published = HashMap<Int, ShardSummary>()
     private var nextSummaryNs = 0L
     private var nextImagesNs = 0L
 
+    /** Writes the pages that have changed, unless the last time was too recent. */
     fun run(term: ULong) {
         if (context.nowNs < nextSummaryNs) return
-        nextSummaryNs =
-            context.nowNs +
-            (context.settings.workers.heartbeatIntervalS * SUMMARY_HEARTBEATS * NANOS_PER_SECOND).toLong()
-        if (term != pagesTerm) {
-            pagesTerm = term
-            sent.clear()
-        }
-        val mine = context.shards.ownedMachines()
-        pages = ShardSummaryPages.count(mine.size, context.settings.stateLimits.valueKb, pages)
-        val dealt = Array(pages) { HashMap<String, MachineStatus>() }
-        for (m in mine) {
-            dealt[ShardSummaryPages.page(m.name, pages)][m.name] =
-                workerHealth.workerState(m.name).room(workerHealth.state(m.name))
+        nextSummaryNs = afterHeartbeats(SUMMARY_HEARTBEATS)
+        if (term != publishedTerm) {
+            publishedTerm = term
+            published.clear()
         }
-        // A machine that came up or fell silent is news at once; which images it holds may wait a little.
+        val statuses = statusesByPage()
         val withImages = context.nowNs >= nextImagesNs
-        if (withImages) {
-            nextImagesNs =
-                context.nowNs +
-                (context.settings.workers.heartbeatIntervalS * IMAGES_HEARTBEATS * NANOS_PER_SECOND).toLong()
-        }
+        if (withImages) nextImagesNs = afterHeartbeats(IMAGES_HEARTBEATS)
         // The last page first: when pages split, rows appear in their new page before they leave the old one.
-        for (page in dealt.indices.reversed()) {
-            val before = sent[page]
-            val now = ShardSummary(term, dealt[page], if (page == 0) zoneCoverage(before) else null)
-            if (now == before || before != null && !withImages && sameStates(before, now)) continue
-            write(page, now, before == null || !sameStates(before, now))
+        for (page in statuses.indices.reversed()) {
+            val before = published[page]
+            val now = ShardSummary(term, statuses[page], if (page == 0) zoneCoverage(before) else null)
+            if (now == before) continue
+            val isUrgent = before == null || !haveSameStates(before, now)
+            if (isUrgent || withImages) write(page, now, isUrgent)
         }
     }
 
+    private fun afterHeartbeats(count: Double): Long =
+        context.nowNs + (context.settings.workers.heartbeatIntervalS * count * NANOS_PER_SECOND).toLong()
+
+    private fun statusesByPage(): Array<HashMap<String, MachineStatus>> {
+        val owned = context.shards.ownedMachines()
+        pages = ShardSummaryPages.count(owned.size, context.settings.stateLimits.valueKb, pages)
+        val statuses = Array(pages) { HashMap<String, MachineStatus>() }
+        for (machine in owned) {
+            statuses[ShardSummaryPages.pageOf(machine.name, pages)][machine.name] =
+                workerHealth.workerState(machine.name).room(workerHealth.state(machine.name))
+        }
+        return statuses
+    }
+
     /**
-     * What is heard of the zones, counts only as they were [before] where they matter no more: each would be a write.
+     * The heartbeats that arrive from each zone. A count is kept as it was [before] where the difference does not
+     * matter: each would be a write.
      */
     private fun zoneCoverage(before: ShardSummary?): Map<String, ZoneCoverage>? {
         if (context.zones == null) return null
@@ -61,32 +70,34 @@
         }
     }
 
-    private fun sameStates(a: ShardSummary, b: ShardSummary): Boolean = a.zoneCoverage == b.zoneCoverage &&
-        a.hosts.size == b.hosts.size &&
-        b.hosts.all { (name, room) ->
-            a.hosts[name]?.let { it.state == room.state && it.incarnation == room.incarnation }
-                ?: false
-        }
+    /** Whether the two differ in images and addresses at most. */
+    private fun haveSameStates(before: ShardSummary, now: ShardSummary): Boolean =
+        before.zoneCoverage == now.zoneCoverage &&
+            before.machines.size == now.machines.size &&
+            now.machines.all { (name, status) -> hasSameState(before.machines[name], status) }
+
+    private fun hasSameState(before: MachineStatus?, now: MachineStatus): Boolean =
+        before != null && before.state == now.state && before.incarnation == now.incarnation
 
-    private fun write(page: Int, now: ShardSummary, pressing: Boolean) {
+    private fun write(page: Int, summary: ShardSummary, isUrgent: Boolean) {
         val key = StoreKeys.shardSummary(context.self.name, page)
         if (context.transactions.isWritePending(key)) return
-        val conditions = TaskEventCommitter.fence(context) + (key to context.view.version(key))
-        val cause = if (pressing) WriteCause.FLEET else WriteCause.ROOM
-        val written = context.transactions.submit(
-            cause,
-            Transaction(conditions, listOf(Change.Put(key, ShardSummaryCodec.encode(now)))),
-        ) {
-            if (it !is TransactionOutcome.Committed) sent.remove(page)
+        val transaction = Transaction(
+            TaskEventCommitter.fence(context) + (key to context.view.version(key)),
+            listOf(Change.Put(key, ShardSummaryCodec.encode(summary))),
+        )
+        val cause = if (isUrgent) WriteCause.FLEET else WriteCause.ROOM
+        val sent = context.transactions.submit(cause, transaction) {
+            if (it !is TransactionOutcome.Committed) published.remove(page)
         }
-        if (written) sent[page] = now
+        if (sent) published[page] = summary
     }
 
     private companion object {
-        /** Summaries are written at most this often, in report intervals. */
+        /** Pages are written at most this often, in heartbeat intervals. */
         const val SUMMARY_HEARTBEATS = 0.4
 
-        /** Images alone are written at most this often. */
+        /** Images alone are written at most this often, in heartbeat intervals. */
         const val IMAGES_HEARTBEATS = 1.5
     }
 }
--- a/src/main/kotlin/flaxfield/gangs/GangReservations.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangReservations.kt
@@ -68,9 +68,9 @@
         val transaction = reservationOf(gang, tasksByMachine, evict, cycle.term)
         val sent = context.transactions.submit(WriteCause.GANG, transaction) { outcome ->
             log.info(
-                "event=gang_reserved job={} term={} machines={} evict={} outcome={}",
-                gang.id,
+                "event=gang_reserved term={} job={} machines={} evict={} outcome={}",
                 cycle.term,
+                gang.id,
                 names,
                 evict,
                 outcome,
@@ -166,17 +166,17 @@
         outcome: TransactionOutcome,
     ) {
         if (outcome !is TransactionOutcome.Committed) {
-            log.info("event=gang_commit_failed job={} term={} outcome={}", gang.id, term, outcome)
+            log.info("event=gang_commit_failed term={} job={} outcome={}", term, gang.id, outcome)
             return
         }
         for ((task, candidate) in placement) {
             log.info(
-                "event=gang_placed job={} task={} attempt={} machine={} term={}",
+                "event=gang_placed term={} job={} task={} attempt={} machine={}",
+                term,
                 gang.id,
                 task,
                 attempt,
                 candidate.machine.name,
-                term,
             )
         }
     }
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -223,14 +223,14 @@
 
     private fun setRoom(key: String, new: ShardSummary?) {
         val old = if (new == null) shardSummaries.remove(key) else shardSummaries.put(key, new)
-        old?.hosts?.forEach { (machineName, room) ->
+        old?.machines?.forEach { (machineName, room) ->
             if (machineStatuses[machineName]?.room ===
                 room
             ) {
                 machineStatuses.remove(machineName)
             }
         }
-        new?.hosts?.forEach { (machineName, room) ->
+        new?.machines?.forEach { (machineName, room) ->
             val held = machineStatuses[machineName]
             if (held == null || held.term <= new.term) machineStatuses[machineName] = SummaryRow(new.term, room)
         }
--- a/src/main/kotlin/flaxfield/workers/WorkerState.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerState.kt
@@ -53,6 +53,6 @@
         state,
         heartbeat?.incarnation ?: 0uL,
         heartbeat?.address.orEmpty(),
-        ShardSummaryPages.images(images.keys.toList()),
+        ShardSummaryPages.imagesThatFit(images.keys.toList()),
     )
 }
--- /dev/null
+++ b/src/test/kotlin/flaxfield/arrays/TopologyConstraintTest.kt
@@ -0,0 +1,32 @@
+package flaxfield.arrays
+
+import flaxfield.Samples
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+class TopologyConstraintTest {
+    @Test
+    fun `zone rules count the tasks that are on machines now`() {
+        val table = listOf(
+            Triple(Samples.spec(zone = "b"), emptyList(), mapOf("a" to false, "b" to true)),
+            Triple(Samples.spec(sameZone = true), listOf("a"), mapOf("a" to true, "b" to false)),
+            Triple(Samples.spec(sameZone = true), emptyList(), mapOf("a" to true, "b" to true)),
+            Triple(Samples.spec(spreadAcrossZones = true, taskCount = 5), listOf("a", "a"), mapOf("a" to true)),
+            Triple(
+                Samples.spec(spreadAcrossZones = true, taskCount = 5),
+                listOf("a", "a", "a"),
+                mapOf("a" to false, "b" to true),
+            ),
+            Triple(Samples.spec(spreadAcrossZones = true, taskCount = 1), emptyList(), mapOf("a" to true)),
+        )
+        for ((spec, placed, want) in table) {
+            assertEquals(
+                want,
+                want.mapValues {
+                    TopologyConstraint(spec, placed).allows(it.key)
+                },
+                "$spec $placed",
+            )
+        }
+    }
+}
