--- a/src/main/kotlin/flaxfield/workers/WorkerState.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerState.kt
@@ -68,6 +68,6 @@
         health,
         heartbeat?.incarnation ?: 0uL,
         heartbeat?.address.orEmpty(),
-        ShardSummaryPages.images(images.keys.toList()),
+        ShardSummaryPages.imagesThatFit(images.keys.toList()),
     )
 }
