--- a/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Users' requests: submission, status, cancellation. Nothing is told before it is committed, and each request gets one
- * response. Used by the owner thread only.
+ * Users' requests: submission, status, cancellation. No outcome is reported before it is committed, and each request
+ * gets one response. Used by the owner thread only.
  *
  * @param begin places the first tasks of a job that is just being submitted, if that can be done at once
  */
--- a/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -81,8 +81,8 @@
                     logAccepted(job.spec, initial?.job)
                     responder.send(JobResponse.Accepted(job.id))
                 }
-                // A machine or the assignment has changed meanwhile, or the job is known already: the plain record
-                // tells which.
+                // A machine or the assignment has changed meanwhile, or the job is known already: a plain
+                // submission shows which.
                 is TransactionOutcome.Conflict -> if (initial != null) {
                     accept(job, responder, mayBegin = false)
                 } else {
--- a/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
+++ b/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
@@ -23,7 +23,7 @@
  */
 internal class LinearizableJobReader(private val context: ControllerContext) {
     private class Waiter(val id: String, val sinceNs: Long, val done: (JobReadResult) -> Unit) {
-        /** The view must have reached this revision; null until the state service has told it. */
+        /** The view must have reached this revision; null until the state service has returned it. */
         var requiredRevision: ULong? = null
     }
 
--- a/src/main/kotlin/flaxfield/workers/DirectCommandSender.kt
+++ b/src/main/kotlin/flaxfield/workers/DirectCommandSender.kt
@@ -27,7 +27,7 @@
         val parsed = try {
             Address.parse(address)
         } catch (e: MalformedException) {
-            // The address is the worker's own word; a wrong one only means that nothing can be sent there.
+            // The worker reports its address itself: an invalid one means only that nothing can be sent there.
             return false
         }
         inFlight++
--- a/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
+++ b/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Tells workers what can't wait for their next heartbeat: halts, and the term where they do not report by themselves.
+ * Sends workers what can't wait for their next heartbeat: halts, and the term where they do not report by themselves.
  * Also records which tasks are to stop. Used by the owner thread only.
  */
 class HaltDispatcher(
@@ -47,7 +47,7 @@
     /**
      * Halts at once what the records no longer want, without waiting for the next heartbeat. Tasks of cancelled jobs
      * are halted also while our lease is over, and where the machine has not reported to us yet: its records and its
-     * last status tell enough. Such a halt is right under any term, and a worker drops it if it knows a newer one.
+     * last known status suffice. Such a halt is right under any term, and a worker drops it if it knows a newer one.
      */
     fun haltNow() {
         val term = context.view.assignment?.term ?: return
@@ -70,7 +70,7 @@
     private fun haltOn(machineName: String, term: ULong, mayAct: Boolean) {
         val workerState = workerHealth.workerState(machineName)
         if (context.nowNs - workerState.haltSentNs < heartbeatIntervalNs) return
-        val halts = HeartbeatReconciler.haltsNow(
+        val halts = HeartbeatReconciler.directHalts(
             context.view.on(machineName),
             workerState.heartbeat,
             isQuiet(workerState),
@@ -91,7 +91,7 @@
         if (context.leadership.mayAct()) pushTerm(term)
     }
 
-    /** Tells our workers the term when they do not report: they may be kept by a controller that is cut off. */
+    /** Sends our workers the term when they do not report: a controller that is cut off may be answering them. */
     private fun pushTerm(term: ULong) {
         for (machine in context.shards.ownedMachines()) {
             val workerState = workerHealth.workerState(machine.name)
--- a/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
@@ -82,7 +82,7 @@
      * Halts for tasks of jobs that the view has as cancelled, and nothing else: such a command is right under any term
      * and without a lease.
      */
-    fun cancelled(heartbeat: Heartbeat, records: List<PlacedTask>): List<WorkerCommand> {
+    fun cancellationHalts(heartbeat: Heartbeat, records: List<PlacedTask>): List<WorkerCommand> {
         val cancelledById = records.filter { it.job.cancelled }.associateBy(::idOf)
         if (cancelledById.isEmpty()) return emptyList()
         return heartbeat.tasks.mapNotNull { task ->
@@ -99,7 +99,7 @@
      * What to halt now by a direct command. A task that [heartbeat] does not show may be on its way to the machine, or
      * have been started by the response of an earlier owner: if the machine is [quiet] it is halted by its record.
      */
-    fun haltsNow(
+    fun directHalts(
         records: List<PlacedTask>,
         heartbeat: Heartbeat?,
         quiet: Boolean,
--- a/src/main/kotlin/flaxfield/workers/HeartbeatResponder.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatResponder.kt
@@ -32,7 +32,7 @@
         heartbeat,
         workerHealth.workerState(heartbeat.machineName),
         fencingToken,
-        HeartbeatReconciler.cancelled(heartbeat, context.view.on(heartbeat.machineName)),
+        HeartbeatReconciler.cancellationHalts(heartbeat, context.view.on(heartbeat.machineName)),
         responder,
     )
 
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -77,7 +77,7 @@
         return counts
     }
 
-    /** Whether the machine's record was dropped lately: news of it is late. */
+    /** Whether the machine's record was dropped lately: heartbeats of it are late copies. */
     fun isGone(machineName: String): Boolean = machineName in dropped
 
     /** Notes what the end of a task tells of its machine. */
--- a/src/test/kotlin/flaxfield/jobs/FinishedJobLookupTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/FinishedJobLookupTest.kt
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Each poll for an id that nobody submitted was a read of its own: a flood of them used up the node's requests. */
+/** Polls for ids that nobody submitted must not use up the requests that this process may send. */
 class FinishedJobLookupTest {
     private var nowMs = 10_000L
     private val clock = object : Clock {
@@ -23,22 +23,24 @@
 
         override fun dayMs() = nowMs
     }
-    private val asked = ArrayList<String>()
-    private val open = ArrayDeque<() -> Unit>()
-    private var serves = true
+    private val sentPaths = ArrayList<String>()
+    private val responses = ArrayDeque<() -> Unit>()
+    private var isUp = true
 
-    /** A state service that knows one finished job, and answers when [open] is run. */
+    /** A state service that knows one finished job, and responds when [responses] are run. */
     private val state = HttpTransport { _, path, body, _, done ->
-        asked += path
-        open += {
+        sentPaths += path
+        responses += {
             val answer = when {
-                !serves -> null
+                !isUp -> null
                 path == "/txn" -> {
-                    val there = Cbor.decode(body ?: ByteArray(0)).mapList("when").map { it.requireText("k") }.filter {
-                        it ==
-                            StoreKeys.FINISHED_JOB + "job-7"
-                    }
-                    Response(if (there.isEmpty()) 200 else 409, Cbor.encode(mapOf("failed" to there, "ledger" to 5)))
+                    val existing = Cbor.decode(body ?: ByteArray(0)).mapList("when")
+                        .map { it.requireText("k") }
+                        .filter { it == StoreKeys.FINISHED_JOB + "job-7" }
+                    Response(
+                        if (existing.isEmpty()) 200 else 409,
+                        Cbor.encode(mapOf("failed" to existing, "ledger" to 5)),
+                    )
                 }
                 else -> Response(
                     200,
@@ -63,48 +65,48 @@
         ) {
             it()
         }
-    private val kept = ArrayList<String>()
-    private val desk = FinishedJobLookup(context) { kept += it.id }
+    private val remembered = ArrayList<String>()
+    private val lookup = FinishedJobLookup(context) { remembered += it.id }
 
     private fun answerAll() {
-        while (true) (open.removeFirstOrNull() ?: return)()
+        while (true) (responses.removeFirstOrNull() ?: return)()
     }
 
     private fun ask(vararg ids: String): List<String> {
         val got = ArrayList<String>()
-        for (id in ids) desk.ask(id) { got += "$id ${it.javaClass.simpleName}" }
+        for (id in ids) lookup.ask(id) { got += "$id ${it.javaClass.simpleName}" }
         return got
     }
 
     @Test
-    fun `many are looked up by one comparison, and only what exists is read`() {
+    fun `many are looked up by one compare, and only what exists is read`() {
         val got = ask("job-1", "job-2", "job-7", "job-2")
         answerAll()
         nowMs += 100
-        desk.run()
+        lookup.run()
         answerAll()
         assertEquals(listOf("job-1 Absent", "job-2 Absent", "job-2 Absent", "job-7 Known").sorted(), got.sorted())
         // The first went alone, all that came meanwhile together.
-        assertEquals(listOf("/txn", "/txn", "/keys/" + StoreKeys.FINISHED_JOB + "job-7"), asked)
-        assertEquals(listOf("job-7"), kept)
+        assertEquals(listOf("/txn", "/txn", "/keys/" + StoreKeys.FINISHED_JOB + "job-7"), sentPaths)
+        assertEquals(listOf("job-7"), remembered)
     }
 
     @Test
-    fun `each asker gets one answer, in time, and the askers are bounded`() {
+    fun `each query gets one result, in time, and the queries are bounded`() {
         val got = ask("job-1")
         nowMs += 1_300
-        desk.run()
+        lookup.run()
         assertEquals(listOf("job-1 Unclear"), got)
         answerAll()
         assertEquals(1, got.size)
-        serves = false
+        isUp = false
         val flood = ask(*(0 until 300).map { "job-9$it" }.toTypedArray())
         assertEquals(44, flood.size)
         assertTrue(flood.all { it.endsWith("Unclear") })
         repeat(20) {
             answerAll()
             nowMs += 100
-            desk.run()
+            lookup.run()
         }
         assertEquals(300, flood.size)
     }
--- /dev/null
+++ b/src/test/kotlin/flaxfield/workers/HaltTrackerTest.kt
@@ -0,0 +1,47 @@
+package flaxfield.workers
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+
+class HaltTrackerTest {
+    private fun heartbeat(sequenceNumber: Int, incarnation: Int = 1) = Heartbeat(
+        "h",
+        "10.0.0.1:1",
+        "big",
+        "a",
+        false,
+        incarnation.toULong(),
+        sequenceNumber.toULong(),
+        7uL,
+        null,
+        emptyList(),
+    )
+
+    @Test
+    fun `only a row of answered halts without effect speaks against a lease`() {
+        val halt = WorkerCommand.Halt("job-1", 0, 1uL, 0.0)
+        val other = WorkerCommand.Halt("job-1", 1, 1uL, 0.0)
+        val table = listOf(
+            Triple("halted once, gone", listOf(heartbeat(1) to listOf(halt), heartbeat(2) to emptyList()), false),
+            Triple("two answers lost", (1..3).map { heartbeat(it) to listOf(halt) }, false),
+            Triple("halts do not help", (1..4).map { heartbeat(it) to listOf(halt) }, true),
+            Triple(
+                "each time another one",
+                (1..8).map { heartbeat(it) to listOf(if (it % 2 == 0) halt else other) },
+                false,
+            ),
+            Triple("copies of one heartbeat", List(9) { heartbeat(1) to listOf(halt) }, false),
+            Triple(
+                "each time a new incarnation",
+                (1..9).map { heartbeat(1, incarnation = it) to listOf(halt) },
+                false,
+            ),
+        )
+        for ((what, heartbeats, want) in table) {
+            val tracker = heartbeats.fold(HaltTracker()) { before, (heartbeat, halts) ->
+                before.answered(heartbeat, halts)
+            }
+            assertEquals(want, tracker.haltsAreIgnored, what)
+        }
+    }
+}
--- a/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** After a restart of all nodes leases ran out on the way from node to node, and before there was a term again. */
+/** After a restart of all controllers, leases must last until each worker has found its owner under a new term. */
 class HeartbeatHandlerTest {
     private var nowS = 100.0
     private val clock = object : Clock {
@@ -31,17 +31,17 @@
     private val silence = HttpTransport { _, _, _, _, _ -> }
     private val view = ClusterView()
 
-    // Two zones, each with one of the two nodes: a machine's zone tells its owner.
+    // Two zones, each with one of the two controllers: a machine's zone tells its owner.
     private val settings = Samples.settings().copy(zones = 2)
     private val context =
         ControllerContext(settings, OperatorSettings(), self, clock, StoreClient(silence, silence, 1), view) { it() }
-    private val hosts = WorkerHealth(context)
+    private val workerHealth = WorkerHealth(context)
     private val handler = HeartbeatHandler(
         context,
         TaskEventCommitter(context),
         PeerGateway(context) { _, _ -> PeerConnection { } },
-        hosts,
-        HaltDispatcher(context, hosts, DirectCommandSender(1, 1) { silence }),
+        workerHealth,
+        HaltDispatcher(context, workerHealth, DirectCommandSender(1, 1) { silence }),
     )
 
     private fun put(key: String, value: Map<String, Any?>, version: ULong) =
@@ -54,8 +54,8 @@
     }
 
     /**
-     * The answer to a report of a machine in [zone] that knows [fencingToken]: its status, and the epoch or the owner
-     * that it names.
+     * The response to a heartbeat of a machine in [zone] that knows [fencingToken]: its status, and the term or the
+     * owner that it names.
      */
     private fun answer(zone: String, fencingToken: Int): String {
         val body = mapOf(
@@ -63,9 +63,9 @@
             "tenure" to 1, "tally" to 1, "epoch" to fencingToken, "shards" to emptyList<Any>(),
         )
         var result = "none"
-        handler.heartbeat(Cbor.encode(body)) { status, answer, _ ->
-            val said = if (answer.bytes.isEmpty()) null else Cbor.decode(answer.bytes)
-            result = listOfNotNull(status, said?.count("epoch"), said?.text("steward")).joinToString(" ")
+        handler.heartbeat(Cbor.encode(body)) { status, response, _ ->
+            val message = if (response.bytes.isEmpty()) null else Cbor.decode(response.bytes)
+            result = listOfNotNull(status, message?.count("epoch"), message?.text("steward")).joinToString(" ")
         }
         return result
     }
--- a/src/test/kotlin/flaxfield/workers/HeartbeatReconcilerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatReconcilerTest.kt
@@ -2,14 +2,11 @@
 
 import flaxfield.Samples
 import flaxfield.Samples.on
-import flaxfield.codec.Cbor
-import flaxfield.codec.MalformedException
 import flaxfield.jobs.Job
 import flaxfield.jobs.TaskEvent
 import flaxfield.store.PlacedTask
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
-import org.junit.jupiter.api.assertThrows
 
 class HeartbeatReconcilerTest {
     private val job = Samples.job().on(0 to "h")
@@ -32,7 +29,7 @@
     private val gone = TaskEvent.Lost("job-1", 0, 1, "h", "absent", false)
 
     @Test
-    fun `orders follow from records and report`() {
+    fun `commands follow from records and heartbeat`() {
         val table = listOf<Triple<String, ReconcileResult, ReconcileResult>>(
             Triple(
                 "recorded and absent: launch",
@@ -94,7 +91,7 @@
     }
 
     @Test
-    fun `absence proves nothing under an older epoch or session`() {
+    fun `absence proves nothing under an older term or incarnation`() {
         // A launch of an earlier term may still be on its way to a worker that has not seen ours.
         assertEquals(ReconcileResult(emptyList(), emptyList()), decide(cancelled, heartbeat(fencingToken = 6uL)))
         val later = Samples.job().place(mapOf(0 to Job.Target("h", 2uL)))
@@ -102,16 +99,19 @@
     }
 
     @Test
-    fun `a newer session proves that the task is gone`() {
-        val d = decide(job, heartbeat(incarnation = 2uL, fencingToken = 0uL))
-        assertEquals(listOf(TaskEvent.Lost("job-1", 0, 1, "h", "tenure 2", false, outcomeUnknown = true)), d.events)
-        assertEquals(emptyList<WorkerCommand>(), d.commands)
+    fun `a newer incarnation proves that the task is gone`() {
+        val result = decide(job, heartbeat(incarnation = 2uL, fencingToken = 0uL))
+        assertEquals(
+            listOf(TaskEvent.Lost("job-1", 0, 1, "h", "tenure 2", false, outcomeUnknown = true)),
+            result.events,
+        )
+        assertEquals(emptyList<WorkerCommand>(), result.commands)
     }
 
     @Test
     fun `every cause of an end has a decision, and clear waits for its commit`() {
         for (cause in EndCause.entries) {
-            val d = decide(job, heartbeat(task(TaskState.ENDED, cause)))
+            val result = decide(job, heartbeat(task(TaskState.ENDED, cause)))
             val want = if (cause == EndCause.DONE) {
                 TaskEvent.Completed("job-1", 0, 1)
             } else {
@@ -119,78 +119,61 @@
                 val refused = cause in setOf(EndCause.NO_ROOM, EndCause.IN_USE, EndCause.UNKNOWN)
                 TaskEvent.Lost("job-1", 0, 1, "h", cause.toString().lowercase(), cause == EndCause.ERROR, refused)
             }
-            assertEquals(ReconcileResult(emptyList(), listOf(want)), d, cause.toString())
+            assertEquals(ReconcileResult(emptyList(), listOf(want)), result, cause.toString())
         }
     }
 
-    @Test
-    fun `reports are read strictly where it matters and leniently where it does not`() {
-        val good = mapOf(
-            "host" to "h", "address" to "10.0.0.1:1", "flavor" to "big", "site" to "a", "lendable" to false,
-            "tenure" to 1, "tally" to ULong.MAX_VALUE, "epoch" to 3, "warning_s" to 5.5,
-            "shards" to listOf(mapOf("shard" to "job-1/0", "try" to 1, "phase" to "ended", "cause" to "melted")),
-        )
-        val read = HeartbeatCodec.decode(Cbor.encode(good + ("new" to 1)))
-        assertEquals(ULong.MAX_VALUE, read.sequenceNumber)
-        assertEquals(EndCause.ERROR, read.tasks.single().cause)
-        val bad = listOf(
-            good - "tenure",
-            good - "host",
-            good + ("tally" to -1),
-            good + ("shards" to listOf(mapOf("shard" to "job-1", "try" to 1, "phase" to "running"))),
-            good + ("shards" to listOf(mapOf("shard" to "job-1/0", "try" to 1, "phase" to "asleep"))),
-        )
-        for (b in bad) assertThrows<MalformedException>(b.toString()) { HeartbeatCodec.decode(Cbor.encode(b)) }
-    }
-
-    @Test
-    fun `session and sequenceNumber order the reports`() {
-        val r = heartbeat(incarnation = 2uL)
-        assertEquals(
-            listOf(true, true, false, false),
-            listOf(1uL to 9uL, 2uL to 0uL, 2uL to 1uL, 3uL to 0uL).map {
-                r.newerThan(it.first, it.second)
-            },
-        )
-    }
-
     @Test
     fun `what is cancelled is halted also where nothing may be decided`() {
         val halt = WorkerCommand.Halt("job-1", 0, 1uL, 0.0)
         fun records(job: Job) = job.allPlaced().map { PlacedTask(job, it) }.toList()
         val table = listOf<Triple<String, List<WorkerCommand>, List<WorkerCommand>>>(
-            Triple("cancelled", HeartbeatReconciler.cancelled(heartbeat(running), records(cancelled)), listOf(halt)),
             Triple(
-                "under any epoch",
-                HeartbeatReconciler.cancelled(heartbeat(running, fencingToken = 3uL), records(cancelled)),
+                "cancelled",
+                HeartbeatReconciler.cancellationHalts(heartbeat(running), records(cancelled)),
                 listOf(halt),
             ),
-            Triple("not cancelled", HeartbeatReconciler.cancelled(heartbeat(running), records(job)), emptyList()),
+            Triple(
+                "under any term",
+                HeartbeatReconciler.cancellationHalts(heartbeat(running, fencingToken = 3uL), records(cancelled)),
+                listOf(halt),
+            ),
+            Triple(
+                "not cancelled",
+                HeartbeatReconciler.cancellationHalts(heartbeat(running), records(job)),
+                emptyList(),
+            ),
             Triple(
                 "told to stop: a decision",
-                HeartbeatReconciler.cancelled(heartbeat(running), records(stopping)),
+                HeartbeatReconciler.cancellationHalts(heartbeat(running), records(stopping)),
                 emptyList(),
             ),
             Triple(
                 "ended",
-                HeartbeatReconciler.cancelled(heartbeat(task(TaskState.ENDED, EndCause.STOPPED)), records(cancelled)),
+                HeartbeatReconciler.cancellationHalts(
+                    heartbeat(task(TaskState.ENDED, EndCause.STOPPED)),
+                    records(cancelled),
+                ),
                 emptyList(),
             ),
             Triple(
                 "another attempt",
-                HeartbeatReconciler.cancelled(heartbeat(task(TaskState.RUNNING, attempt = 9uL)), records(cancelled)),
+                HeartbeatReconciler.cancellationHalts(
+                    heartbeat(task(TaskState.RUNNING, attempt = 9uL)),
+                    records(cancelled),
+                ),
                 emptyList(),
             ),
-            Triple("not there", HeartbeatReconciler.cancelled(heartbeat(), records(cancelled)), emptyList()),
+            Triple("not there", HeartbeatReconciler.cancellationHalts(heartbeat(), records(cancelled)), emptyList()),
         )
         for ((what, got, want) in table) assertEquals(want, got, what)
     }
 
     @Test
-    fun `a direct halt goes by the report, or by the record where the worker is quiet`() {
+    fun `a direct halt goes by the heartbeat, or by the record where the worker is quiet`() {
         val halt = WorkerCommand.Halt("job-1", 0, 1uL, 0.0)
         fun now(job: Job, heartbeat: Heartbeat?, quiet: Boolean, mayStop: Boolean = true) =
-            HeartbeatReconciler.haltsNow(
+            HeartbeatReconciler.directHalts(
                 job.allPlaced().map {
                     PlacedTask(job, it)
                 }.toList(),
@@ -201,7 +184,7 @@
         val table = listOf(
             Triple("shown", now(cancelled, heartbeat(running), quiet = false), listOf(halt)),
             Triple(
-                "not shown by a worker that reports: its next report tells",
+                "not shown by a worker that reports: its next heartbeat tells",
                 now(cancelled, heartbeat(), quiet = false),
                 emptyList(),
             ),
--- a/src/test/kotlin/flaxfield/workers/MachineFailuresTest.kt
+++ b/src/test/kotlin/flaxfield/workers/MachineFailuresTest.kt
@@ -3,10 +3,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** A job submitted with a mistake cost each machine it was tried on: one failure was taken as the machine's. */
+/** A job submitted with a mistake must not cost the machines it is tried on. */
 class MachineFailuresTest {
-    private fun blame(failed: Map<String, Long>, nowNs: Long, elsewhere: Map<String, List<String>?>): FaultVerdict =
-        failed.entries.fold(MachineFailures()) { f, (job, at) -> f.failed(job, at) }
+    private fun judge(failed: Map<String, Long>, nowNs: Long, elsewhere: Map<String, List<String>?>): FaultVerdict =
+        failed.entries.fold(MachineFailures()) { failures, (job, atNs) -> failures.failed(job, atNs) }
             .judge("h", nowNs) { id -> elsewhere[id]?.let { MachineFailures.RetryTrial(it + "h", durationNs = 100) } }
 
     @Test
@@ -26,15 +26,15 @@
             // Cancelled meanwhile: its user has seen the mistake.
             Triple(mapOf("a" to 0L), mapOf("a" to null), 500L) to FaultVerdict.NONE,
         )
-        for ((row, want) in table) assertEquals(want, blame(row.first, row.third, row.second), "$row")
+        for ((row, want) in table) assertEquals(want, judge(row.first, row.third, row.second), "$row")
     }
 
     @Test
     fun `the first failure of a job counts, not its last, and few are kept`() {
-        var f = MachineFailures()
-        repeat(50) { f = f.failed("job-${it % 20}", it.toLong()) }
+        var failures = MachineFailures()
+        repeat(50) { failures = failures.failed("job-${it % 20}", it.toLong()) }
         var asked = 0
-        f.judge("h", 60) {
+        failures.judge("h", 60) {
             asked++
             null
         }
--- a/src/test/kotlin/flaxfield/workers/ResponseReachabilityTest.kt
+++ b/src/test/kotlin/flaxfield/workers/ResponseReachabilityTest.kt
@@ -3,9 +3,9 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** A machine whose reports arrive while answers do not reach it looked alive, and kept what it was given for ever. */
+/** A machine whose heartbeats arrive while responses do not reach it looks alive, and starts nothing. */
 class ResponseReachabilityTest {
-    private val lease = 12e9
+    private val leaseNs = 12e9
     private val launch = WorkerCommand.Launch("job-1", 0, 1uL)
 
     private fun heartbeat(incarnation: Int = 1, fencingToken: Int = 7, has: Boolean = false) = Heartbeat(
@@ -14,16 +14,17 @@
     )
 
     /**
-     * [heartbeats] arrive every 5 s; each is answered with the launch. Returns what speaks against the worker at the
-     * end.
+     * [heartbeats] arrive every [everyS] seconds; each is answered with the launch. Returns how many signs of lost
+     * responses there are at the end.
      */
     private fun missed(heartbeats: List<Heartbeat>, everyS: Double = 5.0): Int {
-        var h = ResponseReachability()
-        for ((k, r) in heartbeats.withIndex()) {
-            val now = ((k + 1) * everyS * 1e9).toLong()
-            h = h.reported(r, 7uL, now, lease).answered(r, 7uL, listOf(launch), now)
+        var reachability = ResponseReachability()
+        for ((number, heartbeat) in heartbeats.withIndex()) {
+            val nowNs = ((number + 1) * everyS * 1e9).toLong()
+            reachability = reachability.reported(heartbeat, 7uL, nowNs, leaseNs)
+                .answered(heartbeat, 7uL, listOf(launch), nowNs)
         }
-        return h.missed
+        return reachability.missed
     }
 
     @Test
@@ -32,7 +33,7 @@
             Triple("the launch shows", listOf(heartbeat(), heartbeat(has = true), heartbeat(has = true)), 0),
             Triple("one answer was lost", listOf(heartbeat(), heartbeat(), heartbeat(has = true)), 0),
             Triple("no launch shows", List(3) { heartbeat() }, 2),
-            Triple("the epoch does not rise", List(5) { heartbeat(fencingToken = 6) }, 4),
+            Triple("the fencing token does not rise", List(5) { heartbeat(fencingToken = 6) }, 4),
             Triple(
                 "its lease runs out under our answers",
                 listOf(heartbeat(), heartbeat(), heartbeat(incarnation = 2), heartbeat(incarnation = 2)),
@@ -41,13 +42,13 @@
             Triple("it outlives a lease all the same", List(5) { heartbeat() }, 0),
         )
         for ((what, heartbeats, want) in table) assertEquals(want, missed(heartbeats), what)
-        // A worker that gets no answers goes round all nodes: its owner hears of it once in several leases of its own.
-        // One task was placed on such a machine 59 times, as each rising session proved that it had left.
+        // A worker that gets no responses tries all controllers: its owner hears it once in several leases, each time
+        // with a newer incarnation, which proves that its tasks have left.
         assertEquals(
             4,
             missed(listOf(heartbeat(), heartbeat(incarnation = 3), heartbeat(incarnation = 5)), everyS = 30.0),
         )
-        // It was cut off, and hears us again: its session lasts.
+        // It was cut off, and gets responses again: its incarnation lasts.
         assertEquals(
             0,
             missed(
@@ -63,7 +64,7 @@
 
     @Test
     fun `a new term starts anew`() {
-        val h = ResponseReachability().answered(heartbeat(), 7uL, listOf(launch), 1).copy(missed = 3)
-        assertEquals(0, h.reported(heartbeat(fencingToken = 7), 8uL, 2, lease).missed)
+        val reachability = ResponseReachability().answered(heartbeat(), 7uL, listOf(launch), 1).copy(missed = 3)
+        assertEquals(0, reachability.reported(heartbeat(fencingToken = 7), 8uL, 2, leaseNs).missed)
     }
 }
--- a/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
+++ b/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
@@ -29,7 +29,7 @@
     private val self = Member("n-0", "run1", "a")
     private val view = ClusterView()
     private val silence = HttpTransport { _, _, _, _, _ -> }
-    private val watch =
+    private val workerHealth =
         WorkerHealth(
             ControllerContext(
                 Samples.settings(),
@@ -47,29 +47,30 @@
         view.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), version))
 
     private fun heartbeat(machineName: String) {
-        val workerState = watch.workerState(machineName)
+        val workerState = workerHealth.workerState(machineName)
         workerState.heartbeat =
             Heartbeat(machineName, "10.1.0.1:1", "big", "a", false, 1uL, 1uL, 3uL, null, emptyList())
-        watch.recordSignOfLife(workerState, "a")
+        workerHealth.recordSignOfLife(workerState, "a")
     }
 
-    private fun states() = listOf("h1", "h2").map { watch.state(it) }
+    private fun states() = listOf("h1", "h2").map { workerHealth.state(it) }
 
     init {
         put(StoreKeys.ASSIGNMENT, MemberCodec.encode(self, listOf(self)), 3uL)
-        for (h in listOf("h1", "h2")) put(StoreKeys.MACHINE + h, FleetCodec.encode(Samples.machine(h)), 4uL)
-        watch.observeTerm()
+        for (name in listOf("h1", "h2")) put(StoreKeys.MACHINE + name, FleetCodec.encode(Samples.machine(name)), 4uL)
+        workerHealth.observeTerm()
         nowS += 1
-        for (h in listOf("h1", "h2")) heartbeat(h)
+        for (name in listOf("h1", "h2")) heartbeat(name)
     }
 
     @Test
-    fun `our own standstill is not the workers' silence`() {
-        // While we stood still nobody was heard. The first report after it made all others of its zone silent.
+    fun `a pause of this process is not the workers' silence`() {
+        // While this process is paused no worker is heard: the first heartbeat after it must not make all others
+        // silent.
         nowS += 5.0
         heartbeat("h1")
         assertEquals(listOf(MachineHealth.OK, MachineHealth.SILENT), states())
-        watch.onProcessPause(5_000_000_000)
+        workerHealth.onProcessPause(5_000_000_000)
         assertEquals(listOf(MachineHealth.OK, MachineHealth.OK), states())
         nowS += 4.6
         heartbeat("h1")
@@ -78,8 +79,10 @@
 
     @Test
     fun `a machine with a failure waits for the job's next try`() {
-        fun fails(job: String, machineName: String) =
-            watch.recordTaskEvent(TaskEvent.Lost(job, 0, 1, machineName, "error", true), watch.workerState(machineName))
+        fun fails(job: String, machineName: String) = workerHealth.recordTaskEvent(
+            TaskEvent.Lost(job, 0, 1, machineName, "error", true),
+            workerHealth.workerState(machineName),
+        )
         fun job(id: String, vararg hosts: String) =
             Samples.job(Samples.spec(id = id)).copy(failedMachines = hosts.toList(), failureCount = hosts.size)
                 .let { put(StoreKeys.JOB + id, JobCodec.encodeHead(it), 10uL + hosts.size.toULong()) }
@@ -93,7 +96,7 @@
         fails("job-2", "h2")
         assertEquals(listOf(MachineHealth.OK, MachineHealth.SUSPECT), states())
         // A task that completes there clears the machine.
-        watch.recordTaskEvent(TaskEvent.Completed("job-2", 1, 1), watch.workerState("h2"))
+        workerHealth.recordTaskEvent(TaskEvent.Completed("job-2", 1, 1), workerHealth.workerState("h2"))
         assertEquals(listOf(MachineHealth.OK, MachineHealth.OK), states())
     }
 }
