--- a/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
@@ -5,20 +5,20 @@
 import flaxfield.controller.Clock
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.TaskEventCommitter
-import flaxfield.membership.Member
-import flaxfield.membership.MemberCodec
+import flaxfield.members.Member
+import flaxfield.members.MemberCodec
 import flaxfield.net.HttpTransport
 import flaxfield.peers.PeerConnection
 import flaxfield.peers.PeerGateway
 import flaxfield.settings.OperatorSettings
-import flaxfield.store.ClusterReplica
+import flaxfield.store.ClusterView
 import flaxfield.store.KeyUpdate
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-/** After a restart of all nodes leases ran out on the way from node to node, and before there was a term again. */
+/** After a restart of all controllers, leases must last until each worker has found its owner under a new term. */
 class HeartbeatHandlerTest {
     private var nowS = 100.0
     private val clock = object : Clock {
@@ -29,25 +29,23 @@
     private val self = Member("n-0", "run1", "a")
     private val other = Member("n-1", "run1", "b")
     private val silence = HttpTransport { _, _, _, _, _ -> }
-    private val replica = ClusterReplica()
+    private val view = ClusterView()
 
-    // Two zones, each with one of the two nodes: a machine's zone tells its owner.
+    // Two zones, each with one of the two controllers: a machine's zone tells its owner.
     private val settings = Samples.settings().copy(zones = 2)
     private val context =
-        ControllerContext(settings, OperatorSettings(), self, clock, StoreClient(silence, silence, 1), replica.view) {
-            it()
-        }
-    private val hosts = WorkerHealth(context)
+        ControllerContext(settings, OperatorSettings(), self, clock, StoreClient(silence, silence, 1), view) { it() }
+    private val workerHealth = WorkerHealth(context)
     private val handler = HeartbeatHandler(
         context,
         TaskEventCommitter(context),
         PeerGateway(context) { _, _ -> PeerConnection { } },
-        hosts,
-        HaltDispatcher(context, hosts, DirectCommandSender(1, 1) { silence }),
+        workerHealth,
+        HaltDispatcher(context, workerHealth, DirectCommandSender(1, 1) { silence }),
     )
 
     private fun put(key: String, value: Map<String, Any?>, version: ULong) =
-        replica.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), version))
+        view.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), version))
 
     private fun viewRead() {
         context.storeContact.noteResponse()
@@ -56,8 +54,8 @@
     }
 
     /**
-     * The answer to a report of a machine in [zone] that knows [fencingToken]: its status, and the epoch or the owner
-     * that it names.
+     * The response to a heartbeat of a machine in [zone] that knows [fencingToken]: its status, and the term or the
+     * owner that it names.
      */
     private fun answer(zone: String, fencingToken: Int): String {
         val body = mapOf(
@@ -65,9 +63,9 @@
             "tenure" to 1, "tally" to 1, "epoch" to fencingToken, "shards" to emptyList<Any>(),
         )
         var result = "none"
-        handler.heartbeat(Cbor.encode(body)) { status, answer, _ ->
-            val said = if (answer.bytes.isEmpty()) null else Cbor.decode(answer.bytes)
-            result = listOfNotNull(status, said?.count("epoch"), said?.text("steward")).joinToString(" ")
+        handler.heartbeat(Cbor.encode(body)) { status, response, _ ->
+            val message = if (response.bytes.isEmpty()) null else Cbor.decode(response.bytes)
+            result = listOfNotNull(status, message?.count("epoch"), message?.text("steward")).joinToString(" ")
         }
         return result
     }
