--- a/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
@@ -3,8 +3,8 @@
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.fleet.FleetRules
 import flaxfield.fleet.Machine
+import flaxfield.fleet.OnDemandUrgency
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobAdmission
 import flaxfield.jobs.Resources
@@ -149,7 +149,7 @@
     private fun mayHoldDear(job: Job): Boolean = !cheapKnown ||
         context.scheduling.hasObjective(job.spec.jobClass) ||
         context.scheduling.isStarved(job) ||
-        FleetRules.pressesWithoutAim(
+        OnDemandUrgency.isOverdueWithoutObjective(
             (context.nowMs - job.submittedMs) / MILLIS_PER_SECOND,
             begun =
             job.placedCount + job.doneCount > 0,
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -5,53 +5,37 @@
 import flaxfield.codec.MalformedException
 import flaxfield.net.HttpTransport
 
-sealed interface RentalResponse {
-    data class Granted(val names: List<String>) : RentalResponse
-
-    data object NoCapacity : RentalResponse
-
-    data object Malformed : RentalResponse
-
-    /** No answer or trouble: the same name is asked again. */
-    data object Unclear : RentalResponse
-}
-
-data class ListedMachine(val machineName: String, val failed: Boolean)
-
-data class ListPage(val hosts: List<ListedMachine>, val more: Boolean)
-
-/** Speaks the cloud's protocol. Callbacks run on the event loop. */
+/** Client of the cloud's API. Callbacks run on the event loop, not on the owner thread. */
 class CloudClient(private val http: HttpTransport, private val timeoutMs: Long) {
+    /** Fetches the machine types by label; null without a usable answer. */
     fun machineTypes(done: (Map<String, MachineType>?) -> Unit) {
-        http.send("GET", "/flavors", null, timeoutMs) { a ->
-            done(guard(null) { if (a?.status == OK) FleetCodec.machineTypes(Cbor.decode(a.body)) else null })
+        http.send("GET", "/flavors", null, timeoutMs) { response ->
+            done(
+                decodeOr(null) {
+                    if (response?.status == OK) FleetCodec.machineTypes(Cbor.decode(response.body)) else null
+                },
+            )
         }
     }
 
-    fun rent(h: Rental, done: (RentalResponse) -> Unit) {
+    /** Requests the machines of [rental]. */
+    fun rent(rental: Rental, done: (RentalResponse) -> Unit) {
         val body = Cbor.encode(
             mapOf(
-                "hire" to h.name,
-                "flavor" to h.machineType,
-                "site" to h.zone,
-                "lendable" to h.preemptible,
-                "how_many" to h.count,
+                "hire" to rental.name,
+                "flavor" to rental.machineType,
+                "site" to rental.zone,
+                "lendable" to rental.preemptible,
+                "how_many" to rental.count,
             ),
         )
-        http.send("POST", "/machines", body, timeoutMs) { a ->
+        http.send("POST", "/machines", body, timeoutMs) { response ->
             done(
-                guard(RentalResponse.Unclear) {
-                    when (a?.status) {
-                        OK -> RentalResponse.Granted(Cbor.decode(a.body).textList("hosts").orEmpty())
-                        UNAVAILABLE -> if (noCapacity(
-                                Cbor.decode(a.body),
-                            )
-                        ) {
-                            RentalResponse.NoCapacity
-                        } else {
-                            RentalResponse.Unclear
-                        }
-                        BAD -> RentalResponse.Malformed
+                decodeOr(RentalResponse.Unclear) {
+                    when (response?.status) {
+                        OK -> RentalResponse.Granted(Cbor.decode(response.body).textList("hosts").orEmpty())
+                        UNAVAILABLE -> decodeUnavailable(Cbor.decode(response.body))
+                        BAD_REQUEST -> RentalResponse.Malformed
                         else -> RentalResponse.Unclear
                     }
                 },
@@ -59,41 +43,46 @@
         }
     }
 
-    /** True once the machines and all that was on them are gone. */
-    fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) {
-        http.send("POST", "/machines/return", Cbor.encode(mapOf("hosts" to hosts)), timeoutMs) {
+    private fun decodeUnavailable(fields: FieldMap): RentalResponse {
+        val lacksCapacity = fields.text("error")?.contains("capacity") ?: false
+        return if (lacksCapacity) RentalResponse.NoCapacity else RentalResponse.Unclear
+    }
+
+    /** Returns machines; [done] gets true once they are gone with all that ran on them. */
+    fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) {
+        http.send("POST", "/machines/return", Cbor.encode(mapOf("hosts" to machineNames)), timeoutMs) {
             done(it?.status == OK)
         }
     }
 
-    fun list(from: String?, done: (ListPage?) -> Unit) {
+    /** Lists the machines after the one named [from], or the first ones; null without a usable answer. */
+    fun listMachines(from: String?, done: (MachineListPage?) -> Unit) {
         val start = if (from == null) "" else "from=$from&"
-        http.send("GET", "/machines?${start}limit=$PAGE", null, timeoutMs) { a ->
-            done(
-                guard(null) {
-                    if (a?.status != OK) return@guard null
-                    val o = Cbor.decode(a.body)
-                    ListPage(
-                        o.mapList("hosts").map { ListedMachine(it.requireText("id"), it.text("phase") == "failed") },
-                        o.flag("more") ?: false,
-                    )
-                },
-            )
+        http.send("GET", "/machines?${start}limit=$PAGE_SIZE", null, timeoutMs) { response ->
+            done(decodeOr(null) { if (response?.status == OK) decodePage(Cbor.decode(response.body)) else null })
         }
     }
 
-    private fun noCapacity(o: FieldMap) = o.text("error")?.contains("capacity") ?: false
+    private fun decodePage(fields: FieldMap) = MachineListPage(
+        fields.mapList("hosts").map { ListedMachine(it.requireText("id"), it.text("phase") == FAILED) },
+        fields.flag("more") ?: false,
+    )
 
-    private fun <T> guard(otherwise: T, read: () -> T): T = try {
-        read()
-    } catch (e: MalformedException) {
-        otherwise
+    /** What [decode] gives, or [fallback] for a body that is not what the protocol says. */
+    private fun <T> decodeOr(fallback: T, decode: () -> T): T = try {
+        decode()
+    } catch (_: MalformedException) {
+        // An unreadable answer is handled as none: the request is repeated.
+        fallback
     }
 
     private companion object {
         const val OK = 200
-        const val BAD = 400
+        const val BAD_REQUEST = 400
         const val UNAVAILABLE = 503
-        const val PAGE = 500
+        const val PAGE_SIZE = 500
+
+        /** The listed phase of a machine that has stopped by itself. */
+        const val FAILED = "failed"
     }
 }
--- /dev/null
+++ b/src/main/kotlin/flaxfield/fleet/DemandMerger.kt
@@ -0,0 +1,63 @@
+package flaxfield.fleet
+
+import flaxfield.jobs.JobKind
+import flaxfield.jobs.Resources
+
+/**
+ * Pure: merges small demands of the same kind into one, which keeps bin packing cheap when there are thousands of small
+ * jobs. Each task of a merged demand is as large as the largest of its parts.
+ */
+object DemandMerger {
+    /** Demands with more tasks than this are not merged. */
+    private const val MAX_MERGED_TASKS = 4
+
+    /** Demands with equal keys may be merged; [position] keeps one that may not apart from all others. */
+    private data class MergeKey(
+        val position: Int?,
+        val jobClass: String,
+        val team: String,
+        val machineTypes: Set<String>?,
+        val zone: String?,
+        val preemptible: Boolean,
+        val isUrgent: Boolean,
+        val isStarved: Boolean,
+    )
+
+    /** [demands] with the small ones merged; each result stands where the first of its parts stood. */
+    fun merge(demands: List<CapacityDemand>): List<CapacityDemand> {
+        val merged = LinkedHashMap<MergeKey, CapacityDemand>()
+        for ((position, demand) in demands.withIndex()) {
+            val key = key(demand, position.takeUnless { isMergeable(demand) })
+            val earlier = merged[key]
+            merged[key] = if (earlier == null) demand else combine(earlier, demand)
+        }
+        return merged.values.toList()
+    }
+
+    private fun isMergeable(demand: CapacityDemand): Boolean {
+        val spec = demand.spec
+        val isConstrained = spec.sameZone || spec.spreadAcrossZones
+        return demand.tasks <= MAX_MERGED_TASKS && spec.jobKind == JobKind.ARRAY && !isConstrained
+    }
+
+    private fun key(demand: CapacityDemand, position: Int?): MergeKey {
+        val spec = demand.spec
+        return MergeKey(
+            position,
+            spec.jobClass,
+            spec.team,
+            spec.machineTypes,
+            spec.zone,
+            spec.preemptible,
+            demand.isUrgent,
+            demand.isStarved,
+        )
+    }
+
+    private fun combine(first: CapacityDemand, second: CapacityDemand): CapacityDemand {
+        val a = first.spec.taskResources
+        val b = second.spec.taskResources
+        val largest = Resources(maxOf(a.cpus, b.cpus), maxOf(a.gpus, b.gpus), maxOf(a.ram, b.ram))
+        return first.copy(spec = first.spec.copy(taskResources = largest), tasks = first.tasks + second.tasks)
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/flaxfield/fleet/FleetCodec.kt
@@ -0,0 +1,103 @@
+package flaxfield.fleet
+
+import flaxfield.codec.FieldMap
+import flaxfield.jobs.Resources
+import flaxfield.store.StoreKeys
+
+/** The stored form of machines, rentals and machine types; that of machine types is also the cloud's wire form. */
+object FleetCodec {
+    private const val DEFAULT_FETCH_GB_PER_S = 1.0
+
+    /** The stored value of [machine]; its name and version are the store's. */
+    fun encode(machine: Machine): Map<String, Any?> = mapOf(
+        "flavor" to machine.machineType,
+        "site" to machine.zone,
+        "lendable" to machine.preemptible,
+        "phase" to machine.phase.name.lowercase(),
+        "at" to machine.sinceMs,
+        "claim" to machine.reservation?.let(::encode),
+    ) + (machine.cordon?.let { mapOf("cordon" to it) } ?: emptyMap())
+
+    private fun encode(reservation: MachineReservation): Map<String, Any?> = mapOf(
+        "job" to reservation.job,
+        "term" to reservation.term,
+        "tasks" to reservation.tasks,
+        "evict" to reservation.evict,
+        "try" to reservation.attempt,
+    )
+
+    /** The machine stored under [key] at [version]. */
+    fun decodeMachine(fields: FieldMap, key: String, version: ULong) = Machine(
+        key.removePrefix(StoreKeys.MACHINE),
+        fields.requireText("flavor"),
+        fields.requireText("site"),
+        fields.requireBoolean("lendable"),
+        MachinePhase.valueOf(fields.requireText("phase").uppercase()),
+        fields.requireUnsigned("at").toLong(),
+        fields.obj("claim")?.let(::decodeReservation),
+        version,
+        fields.text("cordon"),
+    )
+
+    private fun decodeReservation(fields: FieldMap) = MachineReservation(
+        fields.requireText("job"),
+        fields.requireUnsigned("term"),
+        fields.int("tasks") ?: 1,
+        fields.flag("evict") ?: false,
+        fields.count("try")?.toLong() ?: 0L,
+    )
+
+    /** The stored value of [rental]; its name and version are the store's. */
+    fun encode(rental: Rental): Map<String, Any?> = mapOf(
+        "flavor" to rental.machineType,
+        "site" to rental.zone,
+        "lendable" to rental.preemptible,
+        "count" to rental.count,
+        "at" to rental.sinceMs,
+    )
+
+    /** The rental stored under [key] at [version]. */
+    fun decodeRental(fields: FieldMap, key: String, version: ULong) = Rental(
+        key.removePrefix(StoreKeys.RENTAL),
+        fields.requireText("flavor"),
+        fields.requireText("site"),
+        fields.requireBoolean("lendable"),
+        fields.requireInt("count"),
+        fields.requireUnsigned("at").toLong(),
+        version,
+    )
+
+    /** The stored value of all machine types, as the cloud listed them at [atMs]. */
+    fun encodeMachineTypes(all: Collection<MachineType>, atMs: Long): Map<String, Any?> = mapOf(
+        "at" to atMs,
+        "flavors" to all.map(::encode),
+    )
+
+    private fun encode(machineType: MachineType): Map<String, Any?> = mapOf(
+        "label" to machineType.label,
+        "vcpus" to machineType.room.cpus,
+        "accelerators" to machineType.room.gpus,
+        "ram_gb" to machineType.room.ram,
+        "local_gb" to machineType.cacheGb,
+        "pull_gb_per_s" to machineType.fetchGbPerS,
+        "rate" to machineType.onDemandPricePerHour,
+        "low_price" to machineType.spotPricePerHour,
+        "ready_s" to machineType.bootTimeS,
+        "sites" to machineType.zones,
+    )
+
+    /** Machine types by label, from the cloud's answer or from their stored copy. */
+    fun machineTypes(fields: FieldMap): Map<String, MachineType> =
+        fields.mapList("flavors").map(::decodeMachineType).associateBy { it.label }
+
+    private fun decodeMachineType(fields: FieldMap) = MachineType(
+        fields.requireText("label"),
+        Resources(fields.requireNumber("vcpus"), fields.requireNumber("accelerators"), fields.requireNumber("ram_gb")),
+        fields.number("local_gb") ?: 0.0,
+        fields.number("pull_gb_per_s") ?: DEFAULT_FETCH_GB_PER_S,
+        fields.requireNumber("rate"),
+        fields.number("low_price") ?: fields.requireNumber("rate"),
+        fields.requireNumber("ready_s"),
+        fields.textList("sites").orEmpty(),
+    )
+}
--- /dev/null
+++ b/src/main/kotlin/flaxfield/fleet/MachineTypeRefresher.kt
@@ -0,0 +1,64 @@
+package flaxfield.fleet
+
+import flaxfield.MILLIS_PER_SECOND
+import flaxfield.NANOS_PER_SECOND
+import flaxfield.controller.ControllerContext
+import flaxfield.jobs.TaskEventCommitter
+import flaxfield.store.Change
+import flaxfield.store.StoreKeys
+import flaxfield.store.Transaction
+import flaxfield.store.WriteCause
+
+/**
+ * Keeps the stored machine types and their prices up to date with the cloud. Owned by the owner thread; only the leader
+ * uses it.
+ */
+class MachineTypeRefresher(
+    private val context: ControllerContext,
+    private val cloud: CloudClient,
+    private val rateLimiter: CloudRateLimiter,
+) {
+    private var requestOpen = false
+    private var nextRequestNs = 0L
+
+    /** Forgets when the next request is due; called when this process is no longer leader. */
+    fun reset() {
+        nextRequestNs = 0
+    }
+
+    /** Requests the machine types if the stored ones are missing or old. */
+    fun refresh() {
+        if (requestOpen || context.nowNs < nextRequestNs) return
+        if (context.transactions.isWritePending(StoreKeys.MACHINE_TYPES)) return
+        if (isStoredCopyRecent() || !rateLimiter.tryAcquire(context.nowNs)) return
+        requestOpen = true
+        cloud.machineTypes { machineTypes -> context.post { onResponse(machineTypes) } }
+    }
+
+    private fun isStoredCopyRecent(): Boolean = context.view.machineTypes.isNotEmpty() &&
+        context.nowMs - context.view.flavorsAtMs < REFRESH_INTERVAL_S * MILLIS_PER_SECOND
+
+    private fun onResponse(machineTypes: Map<String, MachineType>?) {
+        requestOpen = false
+        // Requested again soon until the view has them, as no job is served without machine types and their write may
+        // conflict with a new assignment. Those in the view are requested again only when they are old.
+        val retryS = context.settings.workers.heartbeatIntervalS * RETRY_HEARTBEATS
+        nextRequestNs = context.nowNs + (retryS * NANOS_PER_SECOND).toLong()
+        if (machineTypes != null && context.leadership.isLeader()) store(machineTypes.values)
+    }
+
+    private fun store(machineTypes: Collection<MachineType>) {
+        val key = StoreKeys.MACHINE_TYPES
+        val conditions = TaskEventCommitter.fence(context) + (key to context.view.version(key))
+        val put = Change.Put(key, FleetCodec.encodeMachineTypes(machineTypes, context.nowMs))
+        context.transactions.submit(WriteCause.FLEET, Transaction(conditions, listOf(put)))
+    }
+
+    private companion object {
+        /** Prices change: stored machine types older than this are requested again. */
+        const val REFRESH_INTERVAL_S = 60.0
+
+        /** The time between two requests while the machine types are missing, in heartbeat intervals. */
+        const val RETRY_HEARTBEATS = 0.5
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
@@ -0,0 +1,148 @@
+package flaxfield.fleet
+
+import flaxfield.arrays.MachineHealth
+import flaxfield.controller.ControllerContext
+import flaxfield.jobs.Job
+import flaxfield.jobs.Resources
+
+/**
+ * Plans which machines to rent: packs the demand into the machines that exist or are requested, requests what is
+ * missing, and records which machines the plan did not need. Owned by the owner thread; only the leader uses it.
+ */
+class ScaleOutPlanner(
+    private val context: ControllerContext,
+    private val capacity: CapacityPlanner,
+    private val scaleOut: ScaleOutReconciler,
+    private val boots: BootMonitor,
+    private val idleMachines: IdleMachines,
+) {
+    /** How many more machines may be rented in each zone in one plan. */
+    private inner class ZoneLimits {
+        private val remaining = HashMap<String, Int>()
+
+        fun remaining(zone: String): Int = remaining.getOrPut(zone) { context.zones?.mayRent(zone) ?: Int.MAX_VALUE }
+
+        fun use(zone: String, machines: Int) {
+            remaining[zone] = remaining(zone) - machines
+        }
+    }
+
+    /** Makes one plan and carries it out. */
+    fun run() {
+        val nowNs = context.nowNs
+        val limits = ZoneLimits()
+        val plan = pack(limits)
+        updateIdleMachines(plan.usedMachines, nowNs)
+        for ((offer, wanted) in plan.newMachines) {
+            val count = minOf(wanted, ScaleOutReconciler.MAX_PER_RENTAL, limits.remaining(offer.zone))
+            if (count <= 0) continue
+            limits.use(offer.zone, count)
+            scaleOut.request(offer, count)
+        }
+    }
+
+    private fun pack(limits: ZoneLimits): PackingResult {
+        val bins = bins()
+        val filter = MachineKindFilter(context.scheduling.reservations::rents)
+        val offers = OfferSelector(context.view.machineTypes, filter, zoneLoad()) { price(it, limits) }
+        return BinPacker(offers, filter, maxNewMachines()).pack(capacity.demands(), bins)
+    }
+
+    /** As many machines as the cloud's request rate allows to rent until the next plan. */
+    private fun maxNewMachines(): Int {
+        val planIntervalS = context.settings.workers.heartbeatIntervalS * PLAN_INTERVAL_HEARTBEATS
+        val rentable = context.settings.cloudRps * ScaleOutReconciler.MAX_PER_RENTAL * planIntervalS
+        return maxOf(ScaleOutReconciler.MAX_PER_RENTAL, rentable.toInt())
+    }
+
+    private fun price(offer: Offer, limits: ZoneLimits): Double? {
+        val machineType = context.view.machineTypes[offer.machineType] ?: return null
+        if (scaleOut.isRefused(offer) || limits.remaining(offer.zone) <= 0) return null
+        return if (offer.preemptible) machineType.spotPricePerHour else machineType.onDemandPricePerHour
+    }
+
+    /** Machines per controller: a zone with one of three controllers gets a third of the machines. */
+    private fun zoneLoad(): ZoneLoad {
+        val machines = context.view.machines.values.groupingBy { it.zone }.eachCount()
+        val controllers = context.view.assignment?.members.orEmpty().groupingBy { it.zone }.eachCount()
+        return ZoneLoad { zone, additionalMachines ->
+            ((machines[zone] ?: 0) + additionalMachines).toDouble() / maxOf(1, controllers[zone] ?: 0)
+        }
+    }
+
+    /**
+     * The available resources of existing and requested machines. Spot machines come first, since each one used saves a
+     * machine that is still booting; within a kind those with the most images, so that spares are kept where tasks
+     * start soonest.
+     */
+    private fun bins(): List<Bin> {
+        val bins = ArrayList<Bin>()
+        context.view.machines.values.sortedBy { it.name }.mapNotNullTo(bins, ::bin)
+        for (rental in context.view.rentals.values) {
+            val resources = context.view.machineTypes[rental.machineType]?.room ?: continue
+            repeat(scaleOut.pendingMachines(rental)) {
+                bins += Bin(null, rental.machineType, rental.zone, rental.preemptible, resources)
+            }
+        }
+        val imageCounts = bins.associateWith { bin ->
+            bin.machineName?.let(context.view::machineStatus)?.images?.size ?: 0
+        }
+        bins.sortWith(compareBy({ if (it.preemptible) 0 else 1 }, { -imageCounts.getValue(it) }))
+        return bins
+    }
+
+    private fun bin(machine: Machine): Bin? {
+        if (!machine.takesWork || context.view.activeReservation(machine) != null) return null
+        if (context.zones?.isReachable(machine) == false || !isExpected(machine)) return null
+        val free = freeWithoutBackfill(machine) ?: return null
+        return Bin(machine.name, machine.machineType, machine.zone, machine.preemptible, free)
+    }
+
+    /** Whether [machine] is up or still expected to boot; one that is overdue is replaced. */
+    private fun isExpected(machine: Machine): Boolean =
+        when (context.view.machineStatus(machine.name)?.state ?: MachineHealth.UNSEEN) {
+            MachineHealth.OK -> true
+            MachineHealth.UNSEEN -> {
+                val machineType = context.view.machineTypes[machine.machineType]
+                machineType == null || boots.status(machine, machineType, context.nowMs) == BootStatus.BOOTING
+            }
+            else -> false
+        }
+
+    /** The free resources of [machine] once the backfill tasks on it, which make way for other work, are gone. */
+    private fun freeWithoutBackfill(machine: Machine): Resources? {
+        val free = context.view.free(machine) ?: return null
+        return context.view.jobsOn(machine.name).filter { isBackfill(it, machine) }.fold(free) { sum, job ->
+            sum + job.spec.taskResources * context.view.countOn(machine.name, job.id)
+        }
+    }
+
+    private fun isBackfill(job: Job, machine: Machine) =
+        context.scheduling.reservations.guests(job.spec, machine.machineType, machine.preemptible)
+
+    private fun updateIdleMachines(usedMachines: Set<String>, nowNs: Long) {
+        val view = context.view
+        val hasArrayBacklog = hasArrayBacklog()
+        for (machine in view.machines.values) {
+            val isIdle = machine.takesWork &&
+                machine.name !in usedMachines &&
+                (view.isEmpty(machine.name) || !hasArrayBacklog && hasOnlyBackfill(machine)) &&
+                view.machineStatus(machine.name)?.state == MachineHealth.OK
+            idleMachines.update(machine.name, isIdle, nowNs)
+        }
+        idleMachines.retain(view.machines.keys)
+    }
+
+    /** While array tasks wait, machines that run backfill are worth their price. */
+    private fun hasArrayBacklog(): Boolean = context.view.jobs.values.any {
+        !it.isGang && !it.cancelled && it.pendingCount > 0 && it.retryAtMs <= context.nowMs
+    }
+
+    private fun hasOnlyBackfill(machine: Machine): Boolean =
+        context.view.jobsOn(machine.name).all { isBackfill(it, machine) }
+
+    companion object {
+        /** The time between two plans, in heartbeat intervals. */
+        const val PLAN_INTERVAL_HEARTBEATS = 0.4
+    }
+}
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -141,7 +141,7 @@
             key.startsWith(StoreKeys.MACHINE) -> {
                 machinesVersion++
                 val name = key.removePrefix(StoreKeys.MACHINE)
-                set(machines, name, value) { FleetCodec.machine(it, key, version) }
+                set(machines, name, value) { FleetCodec.decodeMachine(it, key, version) }
                 if (machines[name]?.reservation != null) claimed += name else claimed -= name
             }
             key.startsWith(StoreKeys.SHARD_SUMMARY) -> setRoom(key, value?.let(ShardSummaryCodec::decode))
@@ -149,7 +149,7 @@
                 MemberCodec.member(it)
             }
             key.startsWith(StoreKeys.RENTAL) -> set(rentals, key.removePrefix(StoreKeys.RENTAL), value) {
-                FleetCodec.hire(it, key, version)
+                FleetCodec.decodeRental(it, key, version)
             }
             key.startsWith(StoreKeys.ZONE) -> set(zones, key.removePrefix(StoreKeys.ZONE), value) {
                 ZoneCodec.decode(it, key, version)
--- a/src/test/kotlin/flaxfield/fleet/FleetDemandTest.kt
+++ b/src/test/kotlin/flaxfield/fleet/CapacityPlannerTest.kt
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-class FleetDemandTest {
+class CapacityPlannerTest {
     private val clock = object : Clock {
         override fun steadyNs() = 1L
 
@@ -54,7 +54,7 @@
         val store = StoreClient(silence, silence, 1)
         val context =
             ControllerContext(settings, OperatorSettings(), Member("n-0", "r", "a"), clock, store, view) { it() }
-        return FleetDemand(context).demands().map { it.spec.id }
+        return CapacityPlanner(context).demands().map { it.spec.id }
     }
 
     @Test
--- a/src/test/kotlin/flaxfield/store/StoreTest.kt
+++ b/src/test/kotlin/flaxfield/store/StoreTest.kt
@@ -69,7 +69,7 @@
             KeyUpdate(
                 StoreKeys.MACHINE_TYPES,
                 stored(
-                    FleetCodec.encodeFlavors(
+                    FleetCodec.encodeMachineTypes(
                         listOf(Samples.machineType("big", Resources(16.0, 4.0, 64.0), 8.0, 3.0)),
                         1,
                     ),
--- a/src/test/kotlin/flaxfield/training/FirstViewState.kt
+++ b/src/test/kotlin/flaxfield/training/FirstViewState.kt
@@ -46,7 +46,7 @@
 
 private fun records(): Map<String, Map<String, Any?>> = buildMap {
     val machines = List(MACHINES) { Samples.machine("host-%06d".format(it), zone = if (it % 2 == 0) "a" else "b") }
-    put(StoreKeys.MACHINE_TYPES, FleetCodec.encodeFlavors(listOf(machineType()), 0))
+    put(StoreKeys.MACHINE_TYPES, FleetCodec.encodeMachineTypes(listOf(machineType()), 0))
     for (machine in machines) put(StoreKeys.MACHINE + machine.name, FleetCodec.encode(machine))
     for ((page, part) in machines.chunked(
         MACHINES_A_PAGE,
--- a/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
@@ -4,9 +4,9 @@
 import flaxfield.codec.Cbor
 import flaxfield.controller.Clock
 import flaxfield.controller.ControllerContext
+import flaxfield.fleet.CapacityPlanner
 import flaxfield.fleet.FleetCodec
-import flaxfield.fleet.FleetDemand
-import flaxfield.fleet.ReturnOrder
+import flaxfield.fleet.ScaleInOrder
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobCodec
 import flaxfield.jobs.JobKind
@@ -93,8 +93,8 @@
         val orders = view.jobs.values.filter { it.pendingCount > 0 }
         return listOf(
             context.scheduling.schedulingOrder(orders, context.scheduling.teamUsage()).map { it.id },
-            FleetDemand(context).demands().map { it.spec.id to it.isUrgent },
-            ReturnOrder.sort(context, machines).map { it.name },
+            CapacityPlanner(context).demands().map { it.spec.id to it.isUrgent },
+            ScaleInOrder.sort(context, machines).map { it.name },
             machines.map { context.zones?.acceptsPlacements(it) ?: true },
             machines.map { context.zones?.mayReturn(it) ?: true },
             machines.map { context.zones?.mayReleaseSilent(it) ?: true },
@@ -135,7 +135,7 @@
                 } < inside.maxOf { tier(it.name) },
             "$now",
         )
-        val order = ReturnOrder.sort(context, inside).map { tier(it.name) }
+        val order = ScaleInOrder.sort(context, inside).map { tier(it.name) }
         assertEquals(order.sorted(), order)
         val event = TaskEvent.Lost("job-1", 0, 1, "host-0", "machine returned", failed = false, outcomeUnknown = true)
         // Without a fleet file no class forbids a repeat.
