--- a/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
@@ -74,11 +74,11 @@
         val use = context.scheduling.teamUsage()
         val held = HeadOfLineReservations { context.view.machineTypes[it.machine.machineType]?.room ?: Resources.NONE }
         val members = context.view.assignment?.members?.size ?: 1
-        val gate = context.zones?.gate(underWay)
+        val tierBarrier = context.zones?.tierBarrier(underWay)
         for (job in context.scheduling.schedulingOrder(waiting, use)) {
-            if (gate?.admits(job) == false) break
+            if (tierBarrier?.admits(job) == false) break
             if (!myTurn(job)) {
-                gate?.passOver(job)
+                tierBarrier?.holdBack(job)
                 continue
             }
             // Those after it are less urgent: none of them goes first for want of a change.
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
@@ -57,7 +57,7 @@
     private fun zoneCoverage(before: ShardSummary?): Map<String, ZoneCoverage>? {
         if (context.zones == null) return null
         return workerHealth.zoneCoverage().mapValues { (zone, now) ->
-            before?.zoneCoverage?.get(zone)?.takeIf { it.isLike(now) } ?: now
+            before?.zoneCoverage?.get(zone)?.takeIf { it.isEquivalentTo(now) } ?: now
         }
     }
 
--- a/src/main/kotlin/flaxfield/fleet/ArrivalTracker.kt
+++ b/src/main/kotlin/flaxfield/fleet/ArrivalTracker.kt
@@ -5,8 +5,8 @@
 import flaxfield.store.ClusterView
 
 /**
- * How fast tasks of each job class arrive, measured over a sliding window from the jobs in [view]. Every controller keeps
- * one, so that a new leader knows the rates at once. Owned by the owner thread.
+ * How fast tasks of each job class arrive, measured over a sliding window from the jobs in [view]. Every controller
+ * keeps one, so that a new leader knows the rates at once. Owned by the owner thread.
  */
 class ArrivalTracker(private val view: ClusterView) {
     private val recentByClass = HashMap<String, ArrayDeque<Job>>()
--- a/src/main/kotlin/flaxfield/fleet/BootMonitor.kt
+++ b/src/main/kotlin/flaxfield/fleet/BootMonitor.kt
@@ -17,8 +17,8 @@
     }
 
     /**
-     * The status of a machine that does not report, at [nowMs]. One that has reported to an earlier owner is up, and only
-     * has to find its present owner.
+     * The status of a machine that does not report, at [nowMs]. One that has reported to an earlier owner is up, and
+     * only has to find its present owner.
      */
     fun status(machine: Machine, machineType: MachineType, nowMs: Long): BootStatus {
         if (hasComeUp(machine)) return BootStatus.BOOTING
--- a/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
@@ -75,7 +75,9 @@
         }
     }
 
-    /** How many task slots to provide for a job's pending tasks: fewer than tasks, where one slot runs several in turn. */
+    /**
+     * How many task slots to provide for a job's pending tasks: fewer than tasks, where one slot runs several in turn.
+     */
     private fun slots(job: Job): Int {
         if (job.isGang) return job.pendingCount
         val bootTimeS = allowedMachineTypes(job.spec).minOfOrNull { it.bootTimeS } ?: 0.0
--- a/src/main/kotlin/flaxfield/fleet/CloudInventory.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudInventory.kt
@@ -4,9 +4,9 @@
 import flaxfield.controller.ControllerContext
 
 /**
- * Reads the cloud's list of machines page by page, and knows from it which machines have stopped by themselves and which
- * are orphaned. The list lags behind, so that it is a hint only, except that a failed machine stays failed. Owned by the
- * owner thread; only the leader uses it.
+ * Reads the cloud's list of machines page by page, and knows from it which machines have stopped by themselves and
+ * which are orphaned. The list lags behind, so that it is a hint only, except that a failed machine stays failed. Owned
+ * by the owner thread; only the leader uses it.
  */
 class CloudInventory(
     private val context: ControllerContext,
--- a/src/main/kotlin/flaxfield/fleet/Machine.kt
+++ b/src/main/kotlin/flaxfield/fleet/Machine.kt
@@ -13,8 +13,9 @@
 }
 
 /**
- * The leader's reservation of a machine for [tasks] tasks of a gang. It is void under any other term than the one it was
- * made in, and once the gang's [attempt] is placed or the gang has finished: no further write is needed to release it.
+ * The leader's reservation of a machine for [tasks] tasks of a gang. It is void under any other term than the one it
+ * was made in, and once the gang's [attempt] is placed or the gang has finished: no further write is needed to release
+ * it.
  */
 data class MachineReservation(
     val job: String,
--- a/src/main/kotlin/flaxfield/fleet/RefusedOffers.kt
+++ b/src/main/kotlin/flaxfield/fleet/RefusedOffers.kt
@@ -3,8 +3,8 @@
 import flaxfield.NANOS_PER_SECOND
 
 /**
- * Offers that the cloud has refused, each left alone with exponential backoff starting at [backoffS]. Owned by the owner
- * thread.
+ * Offers that the cloud has refused, each left alone with exponential backoff starting at [backoffS]. Owned by the
+ * owner thread.
  */
 class RefusedOffers(private val backoffS: Double) {
     private class Refusal(val untilNs: Long, val count: Int)
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
@@ -10,9 +10,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Scale out: takes each rental from its stored request over the cloud's answer to the records of its machines. A request
- * is stored before it is sent, so that a new leader repeats it under the same name. Owned by the owner thread; only the
- * leader uses it.
+ * Scale out: takes each rental from its stored request over the cloud's answer to the records of its machines. A
+ * request is stored before it is sent, so that a new leader repeats it under the same name. Owned by the owner thread;
+ * only the leader uses it.
  */
 class ScaleOutReconciler(
     private val context: ControllerContext,
--- a/src/main/kotlin/flaxfield/operator/ZoneAnswers.kt
+++ b/src/main/kotlin/flaxfield/operator/ZoneAnswers.kt
@@ -6,10 +6,10 @@
 import flaxfield.operator.v1.HeldTasks
 import flaxfield.operator.v1.Zone
 import flaxfield.settings.Team
-import flaxfield.zones.FairLoss
 import flaxfield.zones.FleetZoneRules
 import flaxfield.zones.RepeatGuard
 import flaxfield.zones.ReturnRamp
+import flaxfield.zones.TeamShareCalculator
 import flaxfield.zones.ZoneRecord
 
 /** Pure: what operators are told of zones. The same snapshot gives the same answer on every node. */
@@ -53,7 +53,7 @@
     }
 
     /** How the teams stand against their fair parts. */
-    fun shares(): List<FairShare> = FairLoss(snapshot, teams, rules).shares().map { s ->
+    fun shares(): List<FairShare> = TeamShareCalculator(snapshot, teams, rules).shares().map { s ->
         FairShare.newBuilder().setTeam(
             s.team,
         ).setTarget(capacity(s.target)).setHeld(capacity(s.held)).setShortfall(s.shortfall).build()
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -65,7 +65,7 @@
         val own = counts.mapValues { (_, c) ->
             ZoneCoverage(c.expected, HeartbeatCoverage.of(c.expected, c.heard, settled))
         }
-        val passing = passedNs.filterValues { it > since }.keys.filter { own[it]?.coverage?.isSign != true }
+        val passing = passedNs.filterValues { it > since }.keys.filter { own[it]?.coverage?.showsReachable != true }
         return own + passing.associateWith { ZoneCoverage(own[it]?.expected ?: 0, HeartbeatCoverage.SOME) }
     }
 
--- a/src/main/kotlin/flaxfield/zones/FleetZoneRules.kt
+++ b/src/main/kotlin/flaxfield/zones/FleetZoneRules.kt
@@ -7,22 +7,23 @@
 import flaxfield.jobs.JobSpec
 
 /**
- * What the fleet files and the operators' orders say, as of the latest snapshot. While files differ, the strictest
- * applies.
+ * The rules of the fleet files and the operators' orders, as of the latest snapshot. While the members' files differ,
+ * the strictest applies.
  */
 class FleetZoneRules(private val snapshot: () -> FleetSnapshot) : ZoneRules {
-    private var policyOf: FleetSnapshot? = null
+    private var policySource: FleetSnapshot? = null
     private var policy: FleetPolicy? = null
 
-    /** Also of files of earlier runs, and of some members only: what one file forbids stays forbidden. */
+    /**
+     * The policy of all members' files, also while only some members have one: what one file forbids stays forbidden.
+     * Null without any file.
+     */
     private fun policy(): FleetPolicy? {
-        val now = snapshot()
-        if (policyOf?.configs !==
-            now.configs
-        ) {
-            policy = now.configs.values.takeIf { it.isNotEmpty() }?.let(::FleetPolicy)
+        val current = snapshot()
+        if (policySource?.configs !== current.configs) {
+            policy = current.configs.values.takeIf { it.isNotEmpty() }?.let(::FleetPolicy)
         }
-        policyOf = now
+        policySource = current
         return policy
     }
 
--- a/src/main/kotlin/flaxfield/zones/RecoveryOrder.kt
+++ b/src/main/kotlin/flaxfield/zones/RecoveryOrder.kt
@@ -5,38 +5,49 @@
 import java.util.PriorityQueue
 
 /**
- * Pure: the order in which work is served while a zone is lost or returning. The same order decides which machines of
- * the zone are given up first, whose proofs are committed, for whom machines are rented, and who is placed.
+ * Pure: the order in which jobs are served while a zone is lost or returning. The same order decides which of its
+ * machines are released first, which task events are committed first, for which jobs machines are rented, and which are
+ * placed.
  */
 object RecoveryOrder {
-    private data class Rank(val last: Boolean, val late: Boolean, val tier: Int, val within: Boolean)
+    private data class Rank(
+        val isDeprioritized: Boolean,
+        val isOverdue: Boolean,
+        val tier: Int,
+        val isWithinGuarantee: Boolean,
+    )
 
-    private val RANKS = compareBy<Rank>({ it.last }, { !it.late }, { it.tier }, { !it.within })
+    private val RANK_ORDER =
+        compareBy<Rank>({ it.isDeprioritized }, { !it.isOverdue }, { it.tier }, { !it.isWithinGuarantee })
 
     /**
-     * Jobs that have waited since before [overdueBeforeMs] without a task begun come first, so that no tier starves
-     * another for good; those that seem to be mistakes come last. Between them the [tier] decides (0 is the most
-     * urgent), then whether the job lies within its team's guarantee, then the teams' shares, then for how long it has
-     * waited: a job that had begun before the loss at [lossMs] waits since then, for its tasks were running; behind it,
-     * everything younger would wait for what was displaced, and before it, what is displaced would wait for all that
-     * comes.
-     *
-     * Teams take turns: the next job is of the team whose share of its guarantee is the smallest, with what it has been
-     * given in this order counted. This is progressive filling, the discrete form of weighted max-min fairness, see
-     * [FairShares].
+     * The waiting jobs of one team in their order, and the team's dominant share with what it has been given so far.
+     */
+    private class TeamQueue(val share: Double, val team: String, val jobs: ArrayDeque<Job>)
+
+    /**
+     * Sorts by these criteria, one after another:
+     * - jobs that seem to be mistakes come last;
+     * - jobs submitted before [overdueBeforeMs] of which no task has begun come first, so that no tier starves another;
+     * - the [tier], 0 being the most urgent;
+     * - jobs whose ids are in [guaranteed] come first, as they lie within their team's quota guarantee;
+     * - the team with the smallest dominant share of its guarantee is next, where each job in this order counts: this
+     *   is progressive filling, the discrete form of weighted max-min fairness, see [FairShares];
+     * - the age. A job that had begun before the loss at [lossMs] counts from then, since its tasks were running: with
+     *   its whole age, displaced work would go before everything younger, and with the present as its age, after it.
      */
     fun sort(
         jobs: Collection<Job>,
         guaranteed: Set<String>,
-        use: TeamUsage,
+        usage: TeamUsage,
         overdueBeforeMs: Long,
         lossMs: Long,
         tier: (Job) -> Int,
     ): List<Job> {
-        val given = use.copy()
-        val age = compareBy<Job>({ if (it.hasBegun) maxOf(it.submittedMs, lossMs) else it.submittedMs }, { it.id })
-        val groups = jobs.groupBy { rank(it, guaranteed, overdueBeforeMs, tier) }.toSortedMap(RANKS)
-        return groups.values.flatMap { inTurns(it, given, age) }
+        val projectedUsage = usage.copy()
+        val byAge = compareBy<Job>({ if (it.hasBegun) maxOf(it.submittedMs, lossMs) else it.submittedMs }, { it.id })
+        val groups = jobs.groupBy { rank(it, guaranteed, overdueBeforeMs, tier) }.toSortedMap(RANK_ORDER)
+        return groups.values.flatMap { interleaveTeams(it, projectedUsage, byAge) }
     }
 
     private fun rank(job: Job, guaranteed: Set<String>, overdueBeforeMs: Long, tier: (Job) -> Int) = Rank(
@@ -46,20 +57,18 @@
         job.id in guaranteed,
     )
 
-    private class Turn(val share: Double, val team: String, val jobs: ArrayDeque<Job>)
-
-    private fun inTurns(jobs: List<Job>, given: TeamUsage, age: Comparator<Job>): List<Job> {
-        val turns = PriorityQueue(compareBy<Turn> { it.share }.thenBy(age) { it.jobs.first() })
-        for ((team, list) in jobs.groupBy { it.spec.team }) {
-            turns += Turn(given.dominantShare(team), team, ArrayDeque(list.sortedWith(age)))
+    private fun interleaveTeams(jobs: List<Job>, usage: TeamUsage, byAge: Comparator<Job>): List<Job> {
+        val queues = PriorityQueue(compareBy<TeamQueue> { it.share }.thenBy(byAge) { it.jobs.first() })
+        for ((team, teamJobs) in jobs.groupBy { it.spec.team }) {
+            queues += TeamQueue(usage.dominantShare(team), team, ArrayDeque(teamJobs.sortedWith(byAge)))
         }
         val result = ArrayList<Job>(jobs.size)
-        while (turns.isNotEmpty()) {
-            val turn = turns.remove()
-            val job = turn.jobs.removeFirst()
+        while (queues.isNotEmpty()) {
+            val queue = queues.remove()
+            val job = queue.jobs.removeFirst()
             result += job
-            given.add(turn.team, job.spec.taskResources * job.pendingCount)
-            if (turn.jobs.isNotEmpty()) turns += Turn(given.dominantShare(turn.team), turn.team, turn.jobs)
+            usage.add(queue.team, job.spec.taskResources * job.pendingCount)
+            if (queue.jobs.isNotEmpty()) queues += TeamQueue(usage.dominantShare(queue.team), queue.team, queue.jobs)
         }
         return result
     }
--- a/src/main/kotlin/flaxfield/zones/TeamShareCalculator.kt
+++ b/src/main/kotlin/flaxfield/zones/TeamShareCalculator.kt
@@ -7,39 +7,41 @@
 import flaxfield.settings.Team
 
 /**
- * Pure: what each team should have of the machines that are left, and what it has. Tiers are served one after another;
- * within a tier what is left is shared by [FairShares].
+ * Pure: each team's fair share of the machines that are reachable, and what it has of them. Recovery tiers are served
+ * one after another; within a tier, [FairShares] divides what is left.
  */
-class FairLoss(
+class TeamShareCalculator(
     private val snapshot: FleetSnapshot,
     private val teams: Map<String, Team>,
     private val rules: ZoneRules,
 ) {
-    private val reachable = snapshot.machines.values.filter { m ->
-        m.takesWork &&
-            snapshot.zones[m.zone]?.closed != true &&
-            snapshot.machineStatuses[m.name]?.state == MachineHealth.OK
+    private val reachable = snapshot.machines.values.filter { machine ->
+        machine.takesWork &&
+            snapshot.zones[machine.zone]?.isClosed != true &&
+            snapshot.machineStatuses[machine.name]?.state == MachineHealth.OK
     }.associateBy { it.name }
 
-    /** The shares of all teams that have unfinished work, by name. */
+    /** The shares of all teams that have unfinished jobs, by team name. */
     fun shares(): List<TeamShare> {
         val jobs = snapshot.jobs.values.filter { !it.cancelled && !it.isSuspect }
-        var left = reachable.values.fold(Capacity.NONE) { sum, m -> sum + whole(m.machineType) }
+        var left = reachable.values.fold(Capacity.NONE) { sum, machine -> sum + total(machine.machineType) }
         val targets = sortedMapOf<String, Capacity>()
-        for ((_, tier) in jobs.groupBy { rules.tier(it.spec) }.toSortedMap()) {
-            val got = FairShares.targets(left, wants(tier))
-            for ((team, target) in got) targets.merge(team, target, Capacity::plus)
-            left = got.values.fold(left) { rest, c -> rest + c * -1 }
+        for ((_, tierJobs) in jobs.groupBy { rules.tier(it.spec) }.toSortedMap()) {
+            val tierTargets = FairShares.targets(left, wants(tierJobs))
+            for ((team, target) in tierTargets) targets.merge(team, target, Capacity::plus)
+            left = tierTargets.values.fold(left) { rest, target -> rest + target * -1 }
         }
         val held = held(jobs)
         return targets.map { (team, target) -> TeamShare(team, target, held[team] ?: Capacity.NONE) }
     }
 
-    private fun whole(machineType: String): Capacity =
+    private fun total(machineType: String): Capacity =
         snapshot.machineTypes[machineType]?.room?.let { Capacity(it.cpus, it.gpus) } ?: Capacity.NONE
 
-    private fun wants(jobs: List<Job>): List<TeamWant> = jobs.groupBy { it.spec.team }.map { (team, list) ->
-        val want = list.fold(Capacity.NONE) { sum, j -> sum + Capacity.of(j.spec) * (j.spec.taskCount - j.doneCount) }
+    private fun wants(jobs: List<Job>): List<TeamWant> = jobs.groupBy { it.spec.team }.map { (team, teamJobs) ->
+        val want = teamJobs.fold(Capacity.NONE) { sum, job ->
+            sum + Capacity.of(job.spec) * (job.spec.taskCount - job.doneCount)
+        }
         TeamWant(team, want, teams[team])
     }
 
--- a/src/main/kotlin/flaxfield/zones/TierBarrier.kt
+++ b/src/main/kotlin/flaxfield/zones/TierBarrier.kt
@@ -3,17 +3,17 @@
 import flaxfield.jobs.Job
 
 /**
- * Keeps the order between tiers where a job is passed over for a moment: its last placement is still being written, or
- * another part goes first with it. Without the gate, a less urgent task took the one place that had come free.
+ * Keeps jobs of less urgent tiers from overtaking a job that can't be placed at the moment: a placement of it is still
+ * being written ([inFlight]), or another shard places it first. Made anew for each scheduling round.
  */
-class TierGate(underWay: Collection<Job>, private val tier: (Job) -> Int) {
-    private var mostUrgent: Int? = underWay.minOfOrNull(tier)
+class TierBarrier(inFlight: Collection<Job>, private val tier: (Job) -> Int) {
+    private var mostUrgentWaiting: Int? = inFlight.minOfOrNull(tier)
 
-    /** [job] waits a moment, and those of less urgent tiers with it. */
-    fun passOver(job: Job) {
-        mostUrgent = minOf(mostUrgent ?: Int.MAX_VALUE, tier(job))
+    /** Records that [job] has to wait in this round; less urgent tiers wait with it. */
+    fun holdBack(job: Job) {
+        mostUrgentWaiting = minOf(mostUrgentWaiting ?: Int.MAX_VALUE, tier(job))
     }
 
-    /** Whether [job] may be placed now. */
-    fun admits(job: Job): Boolean = tier(job) <= (mostUrgent ?: Int.MAX_VALUE)
+    /** Whether [job] may be placed in this round. */
+    fun admits(job: Job): Boolean = tier(job) <= (mostUrgentWaiting ?: Int.MAX_VALUE)
 }
--- a/src/main/kotlin/flaxfield/zones/ZoneHealth.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneHealth.kt
@@ -1,59 +1,14 @@
 package flaxfield.zones
 
-import flaxfield.MILLIS_PER_SECOND
-
-/** The times of a zone's states, as ratios to a worker's lease. */
-class ZoneTimes(leaseS: Double) {
-    private val leaseMs = leaseS * MILLIS_PER_SECOND
-
-    /**
-     * From suspicion to loss. With [SILENT_LEASES] before it, the silence has then lasted for a lease: what nobody
-     * renewed has ended, and a shorter cut moves nothing.
-     */
-    val confirmMs: Long = (leaseMs * (1.0 - SILENT_LEASES)).toLong()
-
-    /** How long a step of the return lasts: every worker has reported twice. */
-    fun stepMs(relapses: Int): Long =
-        (leaseMs * STEP_LEASES * (1.0 + LONGER * relapses.coerceAtMost(MAX_RELAPSES))).toLong()
-
-    /**
-     * How long a zone that keeps silent is left alone before it is tried anew: its machines have all been returned by
-     * then.
-     */
-    val retryMs: Long = (leaseMs * RETRY_LEASES).toLong()
-
-    /** A zone that has been healthy for so long starts its next return as if it had never failed. */
-    val calmMs: Long = (leaseMs * CALM_LEASES).toLong()
-
-    /** How long after a loss machines are given up before whose work [tiers] more urgent tiers come. */
-    fun stageMs(tiers: Int): Long = (leaseMs * STAGE_LEASES * minOf(tiers, MAX_STAGES)).toLong()
-
-    companion object {
-        /** A machine not heard for this share of a lease, some two report intervals, counts as silent for its zone. */
-        const val SILENT_LEASES = 0.4
-        private const val STEP_LEASES = 0.5
-        private const val RETRY_LEASES = 6.0
-        private const val CALM_LEASES = 10.0
-
-        /** Two more leases are about what a boot and a fetch take: by then a machine rented elsewhere is up as well. */
-        private const val STAGE_LEASES = 1.0
-        private const val MAX_STAGES = 2
-
-        /**
-         * A step takes this much longer for each further loss, up to half as long again: what is bound to the zone
-         * waits for it.
-         */
-        private const val LONGER = 0.25
-        const val MAX_RELAPSES = 2
-    }
-}
-
-/** Pure: what becomes of the zones' records as the evidence goes. */
+/** Pure: the state machine of the zones' records, driven by evidence and time. */
 class ZoneHealth(private val times: ZoneTimes) {
+    /** What is known of one zone at the moment of a decision; [machines] is how many it has. */
+    private class Observation(val evidence: ZoneEvidence, val isSilent: Boolean, val machines: Int, val nowMs: Long)
+
     /**
-     * The records that change now, at [nowMs], where [records] are those so far and [machines] tells how many machines
-     * each zone has. When more than half of the zones that can be judged are silent at once, it is rather our own
-     * hearing that fails: then no zone is suspected or given up.
+     * The records that change at [nowMs], given the present [records] and how many [machines] each zone has. When more
+     * than half of the zones that can be judged are silent at once, the fault is more likely on the controllers' side:
+     * then no zone becomes suspect or lost.
      */
     fun next(
         records: Map<String, ZoneRecord>,
@@ -61,76 +16,80 @@
         machines: Map<String, Int>,
         nowMs: Long,
     ): List<ZoneRecord> {
-        val judged = evidence.values.filter { it.expected >= ZoneEvidence.FEWEST_MACHINES }
-        val trusted = judged.count { it.silent } * 2 <= judged.size
+        val judged = evidence.values.filter(::isJudged)
+        val isSilenceTrusted = judged.count { it.silent } * 2 <= judged.size
         return (evidence.keys + records.keys).sorted().mapNotNull { zone ->
-            val now = records[zone] ?: ZoneRecord.healthy(zone, nowMs)
-            val next = next(now, evidence[zone] ?: unheard(zone), machines[zone] ?: 0, trusted, nowMs)
-            next.takeIf { it != now }
+            val record = records[zone] ?: ZoneRecord.healthy(zone, nowMs)
+            val zoneEvidence = evidence[zone] ?: noEvidence(zone)
+            val isSilent = isSilenceTrusted && zoneEvidence.silent && isJudged(zoneEvidence)
+            val next = next(record, Observation(zoneEvidence, isSilent, machines[zone] ?: 0, nowMs))
+            next.takeIf { it != record }
         }
     }
 
-    private fun unheard(zone: String) = ZoneEvidence(zone, 0, silent = false, heard = false)
+    private fun isJudged(evidence: ZoneEvidence): Boolean = evidence.expected >= ZoneEvidence.MIN_MACHINES
 
-    private fun next(
-        now: ZoneRecord,
-        evidence: ZoneEvidence,
-        machines: Int,
-        trusted: Boolean,
-        nowMs: Long,
-    ): ZoneRecord {
-        val silent = trusted && evidence.silent && evidence.expected >= ZoneEvidence.FEWEST_MACHINES
-        val forMs = nowMs - now.sinceMs
-        return when (now.state) {
-            ZoneState.HEALTHY -> if (silent) now.copy(state = ZoneState.SUSPECT, sinceMs = nowMs) else now
-            ZoneState.SUSPECT -> when {
-                evidence.heard || evidence.expected == 0 -> now.copy(state = ZoneState.HEALTHY, sinceMs = nowMs)
-                silent && forMs >= times.confirmMs -> lost(now, machines, nowMs)
-                else -> now
-            }
-            ZoneState.LOST -> when {
-                evidence.heard -> now.copy(state = ZoneState.RETURNING, sinceMs = nowMs, endedMs = nowMs)
-                forMs >= times.retryMs -> now.copy(
-                    state = ZoneState.RETURNING,
-                    sinceMs = nowMs,
-                    endedMs = nowMs,
-                    step = ReturnRamp.TRIAL,
-                )
-                else -> now
-            }
-            ZoneState.RETURNING -> returning(now, evidence, silent, machines, nowMs)
+    private fun noEvidence(zone: String) = ZoneEvidence(zone, 0, silent = false, heard = false)
+
+    private fun next(record: ZoneRecord, observation: Observation): ZoneRecord = when (record.state) {
+        ZoneState.HEALTHY -> fromHealthy(record, observation)
+        ZoneState.SUSPECT -> fromSuspect(record, observation)
+        ZoneState.LOST -> fromLost(record, observation)
+        ZoneState.RETURNING -> fromReturning(record, observation)
+    }
+
+    private fun fromHealthy(record: ZoneRecord, observation: Observation): ZoneRecord =
+        if (observation.isSilent) record.copy(state = ZoneState.SUSPECT, sinceMs = observation.nowMs) else record
+
+    private fun fromSuspect(record: ZoneRecord, observation: Observation): ZoneRecord {
+        val nowMs = observation.nowMs
+        return when {
+            observation.evidence.heard || observation.evidence.expected == 0 ->
+                record.copy(state = ZoneState.HEALTHY, sinceMs = nowMs)
+            observation.isSilent && nowMs - record.sinceMs >= times.confirmMs ->
+                lost(record, observation.machines, nowMs)
+            else -> record
         }
     }
 
-    private fun returning(
-        now: ZoneRecord,
-        evidence: ZoneEvidence,
-        silent: Boolean,
-        machines: Int,
-        nowMs: Long,
-    ): ZoneRecord {
-        // Machines that are tried anew and keep silent tell nothing new: there were none but them.
-        if (silent && now.step > ReturnRamp.TRIAL) return lost(now, maxOf(machines, now.machines), nowMs)
-        if (!evidence.heard || nowMs - now.sinceMs < stepMs(now)) return now
-        if (ReturnRamp.isWhole(now.step + 1)) {
-            return now.copy(state = ZoneState.HEALTHY, sinceMs = nowMs, step = ReturnRamp.FIRST)
+    private fun fromLost(record: ZoneRecord, observation: Observation): ZoneRecord {
+        val nowMs = observation.nowMs
+        val returning = record.copy(state = ZoneState.RETURNING, sinceMs = nowMs, endedMs = nowMs)
+        return when {
+            observation.evidence.heard -> returning
+            nowMs - record.sinceMs >= times.retryMs -> returning.copy(step = ReturnRamp.TRIAL)
+            else -> record
+        }
+    }
+
+    private fun fromReturning(record: ZoneRecord, observation: Observation): ZoneRecord {
+        val nowMs = observation.nowMs
+        // During a trial silence shows nothing new: there are no machines but those that were tried.
+        if (observation.isSilent && record.step > ReturnRamp.TRIAL) {
+            return lost(record, maxOf(observation.machines, record.machines), nowMs)
+        }
+        if (!observation.evidence.heard || nowMs - record.sinceMs < stepMs(record)) return record
+        if (ReturnRamp.isComplete(record.step + 1)) {
+            return record.copy(state = ZoneState.HEALTHY, sinceMs = nowMs, step = ReturnRamp.FIRST)
         }
-        return now.copy(step = now.step + 1, sinceMs = nowMs)
+        return record.copy(step = record.step + 1, sinceMs = nowMs)
     }
 
-    /** A trial ends with the first machine that is heard. */
-    private fun stepMs(now: ZoneRecord): Long = if (now.step <= ReturnRamp.TRIAL) 0 else times.stepMs(now.relapses)
+    /** A trial ends with the first heartbeat. */
+    private fun stepMs(record: ZoneRecord): Long =
+        if (record.step <= ReturnRamp.TRIAL) 0 else times.stepMs(record.relapses)
 
-    private fun lost(now: ZoneRecord, machines: Int, nowMs: Long): ZoneRecord {
-        val calm = now.endedMs == 0L || now.state != ZoneState.RETURNING && nowMs - now.endedMs > times.calmMs
-        return now.copy(
+    private fun lost(record: ZoneRecord, machines: Int, nowMs: Long): ZoneRecord {
+        val isReturning = record.state == ZoneState.RETURNING
+        val wasStable = record.endedMs == 0L || !isReturning && nowMs - record.endedMs > times.stableMs
+        return record.copy(
             state = ZoneState.LOST,
-            incarnation = now.incarnation + 1,
+            incarnation = record.incarnation + 1,
             sinceMs = nowMs,
             lostMs = nowMs,
             machines = machines,
-            step = if (now.state == ZoneState.RETURNING) ReturnRamp.afterLoss(now.step) else ReturnRamp.FIRST,
-            relapses = if (calm) 0 else (now.relapses + 1).coerceAtMost(ZoneTimes.MAX_RELAPSES),
+            step = if (isReturning) ReturnRamp.stepAfterLoss(record.step) else ReturnRamp.FIRST,
+            relapses = if (wasStable) 0 else (record.relapses + 1).coerceAtMost(ZoneTimes.MAX_RELAPSES),
         )
     }
 }
--- a/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
@@ -12,60 +12,65 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The leader's watch over the zones: it alone writes their records, under its term and on the version that it knows.
- * Whatever is needed to go on is in the records, so that the next leader goes on where this one ended.
+ * Brings the zones' records in line with the evidence. Only the leader writes them, by compare-and-swap under its term;
+ * all state is in the records, so that a new leader continues where the last one stopped. Owned by the owner thread.
  */
 class ZoneReconciler(private val context: ControllerContext) {
     private val health = ZoneHealth(ZoneTimes(context.settings.workers.leaseS))
-    private val gapNs = (context.settings.workers.heartbeatIntervalS * GAP_HEARTBEATS * NANOS_PER_SECOND).toLong()
-    private val freshNs = (context.settings.workers.heartbeatIntervalS * FRESH_HEARTBEATS * NANOS_PER_SECOND).toLong()
+    private val intervalNs = heartbeatsToNs(INTERVAL_HEARTBEATS)
+    private val maxViewAgeNs = heartbeatsToNs(MAX_VIEW_AGE_HEARTBEATS)
     private var nextNs = 0L
 
-    /** Looks at the evidence in the view and writes what follows from it. */
+    /** Judges the zones when that is due, and writes the records that change. */
     fun tick() {
         if (context.nowNs < nextNs || !context.leadership.isLeader()) return
-        nextNs = context.nowNs + gapNs
-        // On a view that stands still every zone seems as it was.
-        if (!context.viewFreshness.within(freshNs, context.nowNs)) return
+        nextNs = context.nowNs + intervalNs
+        // In a view that is out of date no evidence changes.
+        if (!context.viewFreshness.within(maxViewAgeNs, context.nowNs)) return
         val view = context.view
         val members = view.assignment?.members.orEmpty().map { it.name }
         val evidence = ZoneEvidence.of(members, view.zoneCoverage()) ?: return
-        val machines = view.machines.values.filter {
-            it.phase != MachinePhase.RETIRING
-        }.groupingBy { it.zone }.eachCount()
-        for (next in health.next(view.zones, evidence, machines, context.nowMs)) write(next, evidence[next.zone])
+        val machines = view.machines.values
+            .filter { it.phase != MachinePhase.RETIRING }
+            .groupingBy { it.zone }
+            .eachCount()
+        for (record in health.next(view.zones, evidence, machines, context.nowMs)) {
+            write(record, expectedMachines = evidence[record.zone]?.expected ?: 0)
+        }
     }
 
-    private fun write(next: ZoneRecord, evidence: ZoneEvidence?) {
-        val key = StoreKeys.ZONE + next.zone
+    private fun write(record: ZoneRecord, expectedMachines: Int) {
+        val key = StoreKeys.ZONE + record.zone
         if (context.transactions.isWritePending(key)) return
-        val conditions = TaskEventCommitter.fence(context) + (key to next.version)
+        val conditions = TaskEventCommitter.fence(context) + (key to record.version)
         val term = context.leadership.term()
-        context.transactions.submit(
-            WriteCause.FLEET,
-            Transaction(conditions, listOf(Change.Put(key, ZoneCodec.encode(next)))),
-        ) { outcome ->
+        val transaction = Transaction(conditions, listOf(Change.Put(key, ZoneCodec.encode(record))))
+        context.transactions.submit(WriteCause.FLEET, transaction) { outcome ->
             if (outcome !is TransactionOutcome.Committed) return@submit
             log.info(
-                "zone={} state={} incarnation={} step={} machines={} expected={} term={}",
-                next.zone,
-                next.state,
-                next.incarnation,
-                next.step,
-                next.machines,
-                evidence?.expected ?: 0,
+                "event=zone_state_changed term={} zone={} state={} incarnation={} step={} machines={} " +
+                    "expected_machines={}",
                 term,
+                record.zone,
+                record.state,
+                record.incarnation,
+                record.step,
+                record.machines,
+                expectedMachines,
             )
         }
     }
 
+    private fun heartbeatsToNs(intervals: Double): Long =
+        (context.settings.workers.heartbeatIntervalS * intervals * NANOS_PER_SECOND).toLong()
+
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.zones")
 
-        /** How often the evidence is looked at, in report intervals: it changes no faster than reports come. */
-        const val GAP_HEARTBEATS = 0.25
+        /** The time between two judgements, in heartbeat intervals: evidence changes no faster. */
+        const val INTERVAL_HEARTBEATS = 0.25
 
-        /** How old the view may be, in report intervals, as for the fleet's plans. */
-        const val FRESH_HEARTBEATS = 1.5
+        /** How old the view may be, in heartbeat intervals. */
+        const val MAX_VIEW_AGE_HEARTBEATS = 1.5
     }
 }
--- a/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
@@ -98,7 +98,7 @@
             machines.map { context.zones?.acceptsPlacements(it) ?: true },
             machines.map { context.zones?.mayReturn(it) ?: true },
             machines.map { context.zones?.mayReleaseSilent(it) ?: true },
-            listOf("a", "b").map { context.zones?.mayRent(it) ?: Int.MAX_VALUE },
+            listOf("a", "b").map { context.zones?.rentableMachines(it) ?: Int.MAX_VALUE },
         )
     }
 
@@ -121,7 +121,7 @@
         val context = context(1, listOf(lost))
         val inside = context.view.machines.values.filter { it.zone == "a" }
         assertTrue(inside.none { context.zones?.acceptsPlacements(it) ?: true })
-        assertEquals(0, context.zones?.mayRent("a"))
+        assertEquals(0, context.zones?.rentableMachines("a"))
         val tier = { name: String ->
             context.view.jobsOn(name).minOfOrNull { PriorityTiers.tier(it.spec) }
                 ?: Int.MAX_VALUE
--- a/src/test/kotlin/flaxfield/zones/ZoneMeasurement.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneMeasurement.kt
@@ -138,7 +138,7 @@
     private fun fairness() {
         val snapshot =
             cluster.controls.filterNotNull().maxByOrNull { it.publisher.current.revision }?.publisher?.current ?: return
-        val shares = FairLoss(
+        val shares = TeamShareCalculator(
             snapshot,
             TEAMS.associateWith {
                 Samples.team(it, gpus = machines * 4.0 / TEAMS.size)
