--- a/src/main/kotlin/flaxfield/fleet/BinPacker.kt
+++ b/src/main/kotlin/flaxfield/fleet/BinPacker.kt
@@ -64,14 +64,8 @@
                 }
                 val bin = openBins[next]
                 // When tasks spread across zones, each one placed may change where the next one is allowed.
-                val placed = if (spec.spreadAcrossZones) {
-                    1
-                } else {
-                    minOf(
-                        remaining,
-                        bin.free.countFitting(spec.taskResources),
-                    )
-                }
+                val atOnce = if (spec.spreadAcrossZones) 1 else remaining
+                val placed = minOf(atOnce, bin.free.countFitting(spec.taskResources))
                 bin.free -= spec.taskResources * placed
                 bin.machineName?.let(usedMachines::add)
                 topology.add(bin.zone)
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
@@ -20,10 +20,8 @@
     private inner class ZoneLimits {
         private val remaining = HashMap<String, Int>()
 
-        fun remaining(zone: String): Int = remaining.getOrPut(zone) {
-            context.zones?.rentableMachines(zone)
-                ?: Int.MAX_VALUE
-        }
+        fun remaining(zone: String): Int =
+            remaining.getOrPut(zone) { context.zones?.rentableMachines(zone) ?: Int.MAX_VALUE }
 
         fun use(zone: String, machines: Int) {
             remaining[zone] = remaining(zone) - machines
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
@@ -99,13 +99,8 @@
         val puts = batch.map {
             Change.Put(StoreKeys.MACHINE + it, FleetCodec.encode(newMachine(it, rental)))
         }
-        val deletion = if (missing.size <=
-            batchSize
-        ) {
-            listOf(Change.Delete(StoreKeys.RENTAL + rental.name))
-        } else {
-            emptyList()
-        }
+        val isComplete = missing.size <= batchSize
+        val deletion = if (isComplete) listOf(Change.Delete(StoreKeys.RENTAL + rental.name)) else emptyList()
         val conditions =
             TaskEventCommitter.fence(context) + (StoreKeys.RENTAL + rental.name to rental.version) +
                 batch.associate { StoreKeys.MACHINE + it to 0uL }
--- a/src/test/kotlin/flaxfield/fleet/BinPackerTest.kt
+++ b/src/test/kotlin/flaxfield/fleet/BinPackerTest.kt
@@ -57,13 +57,7 @@
             listOf(
                 Bin("h1", "big", "a", false, one),
                 Bin("h2", "big", "a", true, one * 2),
-                Bin(
-                    null,
-                    "big",
-                    "b",
-                    true,
-                    one * 4,
-                ),
+                Bin(null, "big", "b", true, one * 4),
             )
         }
         val result = pack(listOf(CapacityDemand(Samples.spec(), 7)), bins())
@@ -91,13 +85,7 @@
             listOf(
                 Bin("a1", "big", "a", false, one * 4),
                 Bin("b1", "big", "b", false, one * 4),
-                Bin(
-                    "b2",
-                    "big",
-                    "b",
-                    false,
-                    one * 4,
-                ),
+                Bin("b2", "big", "b", false, one * 4),
             )
         }
         val gang = Samples.spec(jobKind = JobKind.GANG, sameZone = true, preemptible = false, taskResources = one * 4)
--- a/src/test/kotlin/flaxfield/fleet/CapacityPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/fleet/CapacityPlannerTest.kt
@@ -25,7 +25,7 @@
 
         override fun dayMs() = NOW_MS
     }
-    private val silence = HttpTransport { _, _, _, _, _ -> }
+    private val noTransport = HttpTransport { _, _, _, _, _ -> }
 
     private fun gang(id: String, tasks: Int, priority: Priority, waitedS: Int): Job {
         val spec = Samples.spec(
@@ -41,32 +41,27 @@
 
     private fun demanded(jobs: List<Job>): List<String> {
         val settings = Samples.settings().copy(
-            teams = listOf(Samples.team("red", gpusMax = 10.0)).associateBy {
-                it.name
-            },
+            teams = listOf(Samples.team("red", gpusMax = 10.0)).associateBy { it.name },
         )
         val view = ClusterView()
         for (job in jobs) {
-            view.apply(
-                KeyUpdate(StoreKeys.JOB + job.id, Cbor.decode(Cbor.encode(JobCodec.encodeHead(job))), 1uL),
-            )
+            view.apply(KeyUpdate(StoreKeys.JOB + job.id, Cbor.decode(Cbor.encode(JobCodec.encodeHead(job))), 1uL))
         }
-        val store = StoreClient(silence, silence, 1)
+        val store = StoreClient(noTransport, noTransport, 1)
         val context =
             ControllerContext(settings, OperatorSettings(), Member("n-0", "r", "a"), clock, store, view) { it() }
         return CapacityPlanner(context).demands().map { it.spec.id }
     }
 
     @Test
-    fun `machines are rented first for the gang that room is gathered for`() {
-        // At the team's limit only one of the two can run. The scheduler kept all room for the larger one while
-        // machines were rented for the other: neither ever began.
+    fun `the gang that machines are reserved for is the first demand`() {
+        // At the team's limit only one of the two can run: reservations and rentals must be for the same one.
         val large = gang("job-12", tasks = 3, Priority.HIGH, waitedS = 60)
         val urgent = gang("job-6", tasks = 2, Priority.PROD, waitedS = 60)
         assertEquals(listOf("job-12"), demanded(listOf(urgent, large)))
-        // Not late yet: the order decides.
+        // Not overdue yet: the scheduling order decides.
         assertEquals(listOf("job-6"), demanded(listOf(urgent, gang("job-12", tasks = 3, Priority.HIGH, waitedS = 10))))
-        // Too large for its team's limit now: it keeps nothing from others.
+        // Too large for its team's limit: nothing is reserved for it.
         assertEquals(listOf("job-6"), demanded(listOf(urgent, gang("job-12", tasks = 4, Priority.HIGH, waitedS = 60))))
     }
 
--- a/src/test/kotlin/flaxfield/fleet/OnDemandUrgencyTest.kt
+++ b/src/test/kotlin/flaxfield/fleet/OnDemandUrgencyTest.kt
@@ -15,11 +15,8 @@
             Triple(99.0, emptyList<Double>(), false) to "no aim at start",
         )
         for ((row, what) in table) {
-            assertEquals(
-                row.third,
-                OnDemandUrgency.isStartObjectiveAtRisk(row.first, 57.0, 100.0, row.second),
-                what,
-            )
+            val got = OnDemandUrgency.isStartObjectiveAtRisk(row.first, 57.0, 100.0, row.second)
+            assertEquals(row.third, got, what)
         }
         // A queue for spot machines that is fast enough needs no on-demand machines.
         assertEquals(
@@ -45,11 +42,7 @@
             Triple(481.0, true, true),
         )
         for ((age, begun, want) in table) {
-            assertEquals(
-                want,
-                OnDemandUrgency.isOverdueWithoutObjective(age, begun),
-                "$age s, begun $begun",
-            )
+            assertEquals(want, OnDemandUrgency.isOverdueWithoutObjective(age, begun), "$age s, begun $begun")
         }
     }
 }
--- a/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** With all zones healthy, whoever watches them decides as one that does not. */
+/** With all zones healthy, a controller that watches them decides as one that does not. */
 class HealthyZonesTest {
     private val clock = object : Clock {
         override fun steadyNs() = 1L
@@ -48,41 +48,27 @@
 
     private fun context(seed: Int, records: List<ZoneRecord>?): ControllerContext {
         val settings = Samples.settings().copy(
-            teams = listOf(Samples.team("red", gpus = 6.0), Samples.team("blue")).associateBy {
-                it.name
-            },
+            teams = listOf(Samples.team("red", gpus = 6.0), Samples.team("blue")).associateBy { it.name },
         )
         val view = ClusterView()
         fun put(key: String, value: Map<String, Any?>) =
             view.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), 1uL))
         for (n in 0 until 12) {
-            put(
-                StoreKeys.MACHINE + "host-$n",
-                FleetCodec.encode(
-                    Samples.machine(
-                        "host-$n",
-                        zone = "ab"[
-                            n %
-                                2,
-                        ].toString(),
-                    ),
-                ),
-            )
+            val zone = if (n % 2 == 0) "a" else "b"
+            put(StoreKeys.MACHINE + "host-$n", FleetCodec.encode(Samples.machine("host-$n", zone)))
         }
         for (job in jobs(Random(seed))) put(StoreKeys.JOB + job.id, JobCodec.encodeHead(job))
-        for (r in records.orEmpty()) put(StoreKeys.ZONE + r.zone, ZoneCodec.encode(r))
-        val silence = HttpTransport { _, _, _, _, _ -> }
+        for (record in records.orEmpty()) put(StoreKeys.ZONE + record.zone, ZoneCodec.encode(record))
+        val noTransport = HttpTransport { _, _, _, _, _ -> }
         val context =
             ControllerContext(
                 settings,
                 OperatorSettings(),
                 Member("n-0", "r", "a"),
                 clock,
-                StoreClient(silence, silence, 1),
+                StoreClient(noTransport, noTransport, 1),
                 view,
-            ) {
-                it()
-            }
+            ) { it() }
         if (records != null) context.zones = ZoneRecovery(context)
         return context
     }
@@ -90,9 +76,9 @@
     private fun plan(context: ControllerContext): List<Any?> {
         val view = context.view
         val machines = view.machines.values.sortedBy { it.name }
-        val orders = view.jobs.values.filter { it.pendingCount > 0 }
+        val waiting = view.jobs.values.filter { it.pendingCount > 0 }
         return listOf(
-            context.scheduling.schedulingOrder(orders, context.scheduling.teamUsage()).map { it.id },
+            context.scheduling.schedulingOrder(waiting, context.scheduling.teamUsage()).map { it.id },
             CapacityPlanner(context).demands().map { it.spec.id to it.isUrgent },
             ScaleInOrder.sort(context, machines).map { it.name },
             machines.map { context.zones?.acceptsPlacements(it) ?: true },
@@ -110,30 +96,27 @@
             assertEquals(expected, plan(context(seed, emptyList())), "seed $seed")
             assertEquals(expected, plan(context(seed, listOf(healthy))), "seed $seed")
         }
-        // Not an equality of nothing: a lost zone changes them.
+        // The plans can differ: a lost zone changes them.
         val lost = healthy.copy(state = ZoneState.LOST)
         assertNotEquals(plan(context(1, null)), plan(context(1, listOf(lost))))
     }
 
     @Test
-    fun `a lost zone gets nothing, and gives up its most urgent machines first`() {
+    fun `a lost zone gets no work, and its most urgent machines are released first`() {
         val lost = ZoneRecord.healthy("a", NOW_MS).copy(state = ZoneState.LOST, incarnation = 1, machines = 6)
         val context = context(1, listOf(lost))
         val inside = context.view.machines.values.filter { it.zone == "a" }
         assertTrue(inside.none { context.zones?.acceptsPlacements(it) ?: true })
         assertEquals(0, context.zones?.rentableMachines("a"))
         val tier = { name: String ->
-            context.view.jobsOn(name).minOfOrNull { PriorityTiers.tier(it.spec) }
-                ?: Int.MAX_VALUE
+            context.view.jobsOn(name).minOfOrNull { PriorityTiers.tier(it.spec) } ?: Int.MAX_VALUE
         }
-        val now = inside.filter { context.zones?.mayReleaseSilent(it) ?: false }
+        val released = inside.filter { context.zones?.mayReleaseSilent(it) ?: false }
         assertTrue(
-            now.isNotEmpty() &&
-                now.size < inside.size &&
-                now.maxOf {
-                    tier(it.name)
-                } < inside.maxOf { tier(it.name) },
-            "$now",
+            released.isNotEmpty() &&
+                released.size < inside.size &&
+                released.maxOf { tier(it.name) } < inside.maxOf { tier(it.name) },
+            "$released",
         )
         val order = ScaleInOrder.sort(context, inside).map { tier(it.name) }
         assertEquals(order.sorted(), order)
--- a/src/test/kotlin/flaxfield/zones/ZoneHealthTest.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneHealthTest.kt
@@ -1,23 +1,28 @@
 package flaxfield.zones
 
+import flaxfield.codec.Cbor
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** From evidence to health; a lease of 10 s, so that a step is 5 s and a loss is confirmed 6 s after suspicion. */
+/** With a lease of 10 s a step of the return lasts 5 s, and a loss is confirmed 6 s after suspicion. */
 class ZoneHealthTest {
     private val health = ZoneHealth(ZoneTimes(10.0))
-    private val quiet = HeartbeatCoverage.NONE
-    private val fine = HeartbeatCoverage.MOST
+    private val none = HeartbeatCoverage.NONE
+    private val most = HeartbeatCoverage.MOST
 
-    private fun told(vararg members: Pair<String, Map<String, ZoneCoverage>>) = mapOf(*members)
+    private fun reported(vararg members: Pair<String, Map<String, ZoneCoverage>>) = mapOf(*members)
 
-    private fun hears(expected: Int, coverage: HeartbeatCoverage) = ZoneCoverage(expected, coverage)
+    private fun covered(expected: Int, coverage: HeartbeatCoverage) = ZoneCoverage(expected, coverage)
 
-    /** Plays [evidence] second by second, as the leader would, and tells each change as `second state step`. */
-    private fun play(seconds: Int, from: Map<String, ZoneRecord> = emptyMap(), evidence: (Int) -> Map<String, ZoneEvidence>): List<String> {
+    /** Feeds [evidence] second by second; the changes as `second zone state step`. */
+    private fun play(
+        seconds: Int,
+        from: Map<String, ZoneRecord> = emptyMap(),
+        evidence: (Int) -> Map<String, ZoneEvidence>,
+    ): List<String> {
         val records = HashMap(from)
         val changes = ArrayList<String>()
         for (s in 0..seconds) {
@@ -36,10 +41,18 @@
     fun `a lost zone returns in doubling steps, and a short cut starts no ramp`() {
         val whole = play(60) { s -> mapOf(zone("a", s in 3..20), zone("b", false)) }
         assertEquals(
-            listOf("3 a suspect 1", "9 a lost 1", "21 a returning 1", "26 a returning 2", "31 a returning 3", "36 a healthy 1"),
+            listOf(
+                "3 a suspect 1",
+                "9 a lost 1",
+                "21 a returning 1",
+                "26 a returning 2",
+                "31 a returning 3",
+                "36 a healthy 1",
+            ),
             whole,
         )
-        assertEquals(listOf("3 a suspect 1", "8 a healthy 1"), play(60) { s -> mapOf(zone("a", s in 3..7), zone("b", false)) })
+        val cut = play(60) { s -> mapOf(zone("a", s in 3..7), zone("b", false)) }
+        assertEquals(listOf("3 a suspect 1", "8 a healthy 1"), cut)
     }
 
     @Test
@@ -61,7 +74,8 @@
         val changes = play(90) { s -> mapOf(zone("a", s < 30, if (s in 30..79) 0 else 16), zone("b", false)) }
         assertEquals("66 a returning 0", changes[2])
         assertEquals("80 a returning 1", changes[3])
-        val trial = ZoneRecord.healthy("a", 0).copy(state = ZoneState.RETURNING, step = ReturnRamp.TRIAL, machines = 400)
+        val trial = ZoneRecord.healthy("a", 0)
+            .copy(state = ZoneState.RETURNING, step = ReturnRamp.TRIAL, machines = 400)
         assertEquals(ReturnRamp.TRIAL_MACHINES, ReturnRamp.limit(trial))
         assertTrue(trial.isRecovering(nowMs = 50_000, patienceMs = 100_000))
         assertFalse(trial.isRecovering(nowMs = 150_000, patienceMs = 100_000))
@@ -76,50 +90,52 @@
     }
 
     @Test
-    fun `what is no lost zone`() {
-        val three = listOf("n-0", "n-1", "n-2")
+    fun `evidence that does not make a zone suspect`() {
+        val members = listOf("n-0", "n-1", "n-2")
         val cases = mapOf(
-            "one controller is cut off from it, others hear its workers" to told(
-                "n-0" to mapOf("a" to hears(9, quiet), "b" to hears(9, fine)),
-                "n-1" to mapOf("a" to hears(0, HeartbeatCoverage.SOME), "b" to hears(9, fine)),
-                "n-2" to mapOf("b" to hears(9, fine)),
+            "one controller is cut off from it, others get its heartbeats" to reported(
+                "n-0" to mapOf("a" to covered(9, none), "b" to covered(9, most)),
+                "n-1" to mapOf("a" to covered(0, HeartbeatCoverage.SOME), "b" to covered(9, most)),
+                "n-2" to mapOf("b" to covered(9, most)),
             ),
-            "its own controller still hears it" to told(
-                "n-0" to mapOf("a" to hears(5, quiet), "b" to hears(9, fine)),
-                "n-1" to mapOf("a" to hears(5, fine), "b" to hears(9, fine)),
-                "n-2" to mapOf("b" to hears(9, fine)),
+            "one of its controllers still gets its heartbeats" to reported(
+                "n-0" to mapOf("a" to covered(5, none), "b" to covered(9, most)),
+                "n-1" to mapOf("a" to covered(5, most), "b" to covered(9, most)),
+                "n-2" to mapOf("b" to covered(9, most)),
             ),
-            "its owner has just taken it over" to told(
-                "n-0" to mapOf("a" to hears(9, HeartbeatCoverage.UNKNOWN), "b" to hears(9, fine)),
-                "n-1" to mapOf("b" to hears(9, fine)),
-                "n-2" to mapOf("b" to hears(9, fine)),
+            "its owner has just taken it over" to reported(
+                "n-0" to mapOf("a" to covered(9, HeartbeatCoverage.UNKNOWN), "b" to covered(9, most)),
+                "n-1" to mapOf("b" to covered(9, most)),
+                "n-2" to mapOf("b" to covered(9, most)),
             ),
-            "two machines of it" to told(
-                "n-0" to mapOf("a" to hears(2, quiet), "b" to hears(9, fine)),
-                "n-1" to mapOf("b" to hears(9, fine)),
+            "two machines of it" to reported(
+                "n-0" to mapOf("a" to covered(2, none), "b" to covered(9, most)),
+                "n-1" to mapOf("b" to covered(9, most)),
                 "n-2" to emptyMap(),
             ),
-            "all zones at once: our own eyes" to told(
-                "n-0" to mapOf("a" to hears(9, quiet), "b" to hears(9, quiet)),
-                "n-1" to mapOf("b" to hears(9, quiet)),
+            "all zones at once: the fault is the controllers' own" to reported(
+                "n-0" to mapOf("a" to covered(9, none), "b" to covered(9, none)),
+                "n-1" to mapOf("b" to covered(9, none)),
                 "n-2" to emptyMap(),
             ),
-            "a member that has told nothing yet" to told("n-0" to mapOf("a" to hears(9, quiet), "b" to hears(9, fine))),
+            "a member that has reported nothing yet" to reported(
+                "n-0" to mapOf("a" to covered(9, none), "b" to covered(9, most)),
+            ),
         )
-        for ((what, told) in cases) {
-            val evidence = ZoneEvidence.of(three, told).orEmpty()
+        for ((what, reported) in cases) {
+            val evidence = ZoneEvidence.of(members, reported).orEmpty()
             assertEquals(emptyList<String>(), play(60) { evidence }, what)
         }
-        val lost = told(
-            "n-0" to mapOf("a" to hears(9, quiet), "b" to hears(9, fine)),
-            "n-1" to mapOf("b" to hears(9, fine)),
+        val lost = reported(
+            "n-0" to mapOf("a" to covered(9, none), "b" to covered(9, most)),
+            "n-1" to mapOf("b" to covered(9, most)),
             "n-2" to emptyMap(),
         )
-        assertEquals("6 a lost 1", play(60) { ZoneEvidence.of(three, lost).orEmpty() }[1])
+        assertEquals("6 a lost 1", play(60) { ZoneEvidence.of(members, lost).orEmpty() }[1])
     }
 
     @Test
-    fun `what hearing amounts to`() {
+    fun `coverage follows from the share of machines heard`() {
         val cases = listOf(
             Triple(10, 6, true) to HeartbeatCoverage.MOST,
             Triple(10, 2, true) to HeartbeatCoverage.SOME,
@@ -132,8 +148,19 @@
 
     @Test
     fun `records are stored whole`() {
-        val record = ZoneRecord("a", ZoneState.RETURNING, 3, 1_700_000_000_000, 120, 2, 1, 1_699_999_990_000, 1_699_999_999_000, 9uL)
-        val stored = flaxfield.codec.Cbor.decode(flaxfield.codec.Cbor.encode(ZoneCodec.encode(record)))
+        val record = ZoneRecord(
+            "a",
+            ZoneState.RETURNING,
+            incarnation = 3,
+            sinceMs = 1_700_000_000_000,
+            machines = 120,
+            step = 2,
+            relapses = 1,
+            lostMs = 1_699_999_990_000,
+            endedMs = 1_699_999_999_000,
+            version = 9uL,
+        )
+        val stored = Cbor.decode(Cbor.encode(ZoneCodec.encode(record)))
         assertEquals(record, ZoneCodec.decode(stored, "live/zone/a", 9uL))
     }
 }
