--- a/src/main/kotlin/flaxfield/drain/DrainCodec.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainCodec.kt
@@ -3,51 +3,53 @@
 import flaxfield.codec.FieldMap
 import flaxfield.codec.MalformedException
 
-/** Stored forms of the drain records. */
+/** Stored forms of the drain records; field names and values are part of the stored data and must not change. */
 object DrainCodec {
-    fun encode(d: DrainRecord): Map<String, Any?> = mapOf(
-        "selector" to encode(d.selector),
-        "at" to d.orderedMs,
-        "phase" to d.phase.name.lowercase(),
-        "target" to d.target,
-        "cordoned" to d.cordoned,
-        "note" to d.note,
+    fun encode(drain: DrainRecord): Map<String, Any?> = mapOf(
+        "selector" to encode(drain.selector),
+        "at" to drain.orderedMs,
+        "phase" to drain.phase.name.lowercase(),
+        "target" to drain.target,
+        "cordoned" to drain.cordoned,
+        "note" to drain.note,
     )
 
-    fun drain(id: String, o: FieldMap, version: ULong) = DrainRecord(
+    fun drain(id: String, fields: FieldMap, version: ULong) = DrainRecord(
         id,
-        selector(o.requireMap("selector")),
-        o.requireUnsigned("at").toLong(),
-        DrainPhase.valueOf(o.requireText("phase").uppercase()),
-        o.int("target"),
-        o.requireInt("cordoned"),
-        o.text("note").orEmpty(),
+        selector(fields.requireMap("selector")),
+        fields.requireUnsigned("at").toLong(),
+        DrainPhase.valueOf(fields.requireText("phase").uppercase()),
+        fields.int("target"),
+        fields.requireInt("cordoned"),
+        fields.text("note").orEmpty(),
         version,
     )
 
-    private fun encode(s: Selector): Map<String, Any?> = mapOf(
-        "machines" to s.machines.sorted(),
-        "type" to s.machineType,
-        "zone" to s.zone,
-        "older_than_s" to s.olderThanS,
-        "percent" to s.percent,
+    private fun encode(selector: Selector): Map<String, Any?> = mapOf(
+        "machines" to selector.machines.sorted(),
+        "type" to selector.machineType,
+        "zone" to selector.zone,
+        "older_than_s" to selector.olderThanS,
+        "percent" to selector.percent,
     )
 
-    private fun selector(o: FieldMap) = Selector(
-        o.textList("machines").orEmpty().toSet(),
-        o.text("type"),
-        o.text("zone"),
-        o.number("older_than_s"),
-        o.number("percent"),
+    private fun selector(fields: FieldMap) = Selector(
+        fields.textList("machines").orEmpty().toSet(),
+        fields.text("type"),
+        fields.text("zone"),
+        fields.number("older_than_s"),
+        fields.number("percent"),
     )
 
     fun encode(ledger: Ledger): Map<String, Any?> = mapOf(
-        "entries" to ledger.entries.map { (task, d) -> listOf(task.job, task.index, d.attempt, d.drain) },
+        "entries" to ledger.entries.map { (task, disruption) ->
+            listOf(task.job, task.index, disruption.attempt, disruption.drain)
+        },
     )
 
-    fun ledger(team: String, o: FieldMap, version: ULong) = Ledger(
+    fun ledger(team: String, fields: FieldMap, version: ULong) = Ledger(
         team,
-        o.list("entries").orEmpty().associate { row ->
+        fields.list("entries").orEmpty().associate { row ->
             row as List<*>
             TaskId(row[0] as String, (row[1] as Number).toInt()) to
                 Disruption((row[2] as Number).toLong(), row[3] as String)
@@ -55,26 +57,26 @@
         version,
     )
 
-    fun encode(c: FleetConfig): Map<String, Any?> = mapOf(
-        "run" to c.incarnation,
-        "budgets" to c.budgets.mapValues { encode(it.value) },
-        "default_budget" to encode(c.defaultBudget),
-        "classes" to c.classes.mapValues { it.value.name.lowercase() },
-        "default_repeat" to c.defaultRepeat.name.lowercase(),
-        "surge_machines" to c.surgeMachines,
-        "max_cordoned" to c.maxCordoned,
-        "recovery_tiers" to c.recoveryTiers,
+    fun encode(config: FleetConfig): Map<String, Any?> = mapOf(
+        "run" to config.incarnation,
+        "budgets" to config.budgets.mapValues { encode(it.value) },
+        "default_budget" to encode(config.defaultBudget),
+        "classes" to config.classes.mapValues { it.value.name.lowercase() },
+        "default_repeat" to config.defaultRepeat.name.lowercase(),
+        "surge_machines" to config.surgeMachines,
+        "max_cordoned" to config.maxCordoned,
+        "recovery_tiers" to config.recoveryTiers,
     )
 
-    fun config(o: FieldMap) = FleetConfig(
-        o.requireText("run"),
-        o.requireMap("budgets").let { all -> all.map.keys.associateWith { limit(all.requireMap(it)) } },
-        limit(o.requireMap("default_budget")),
-        o.requireMap("classes").let { all -> all.map.keys.associateWith { repeat(all.requireText(it)) } },
-        repeat(o.requireText("default_repeat")),
-        o.requireInt("surge_machines"),
-        o.requireInt("max_cordoned"),
-        o.obj("recovery_tiers")?.let { all -> all.map.keys.associateWith { all.requireInt(it) } }.orEmpty(),
+    fun config(fields: FieldMap) = FleetConfig(
+        fields.requireText("run"),
+        fields.requireMap("budgets").let { all -> all.map.keys.associateWith { limit(all.requireMap(it)) } },
+        limit(fields.requireMap("default_budget")),
+        fields.requireMap("classes").let { all -> all.map.keys.associateWith { repeat(all.requireText(it)) } },
+        repeat(fields.requireText("default_repeat")),
+        fields.requireInt("surge_machines"),
+        fields.requireInt("max_cordoned"),
+        fields.obj("recovery_tiers")?.let { all -> all.map.keys.associateWith { all.requireInt(it) } }.orEmpty(),
     )
 
     private fun encode(limit: BudgetLimit): Map<String, Any?> = when (limit) {
@@ -82,10 +84,10 @@
         is BudgetLimit.Percent -> mapOf("percent" to limit.percent)
     }
 
-    private fun limit(o: FieldMap): BudgetLimit {
-        val percent = o.number("percent")
+    private fun limit(fields: FieldMap): BudgetLimit {
+        val percent = fields.number("percent")
         if (percent != null) return BudgetLimit.Percent(percent)
-        return BudgetLimit.Absolute(Capacity(o.requireNumber("cpus"), o.requireNumber("accelerators")))
+        return BudgetLimit.Absolute(Capacity(fields.requireNumber("cpus"), fields.requireNumber("accelerators")))
     }
 
     private fun repeat(text: String): RepeatPolicy = RepeatPolicy.entries.firstOrNull { it.name.lowercase() == text }
--- a/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
@@ -2,23 +2,22 @@
 
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
+import flaxfield.jobs.Placement
 import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.Transaction
 import flaxfield.store.TransactionOutcome
 import flaxfield.store.WriteCause
-import flaxfield.workers.Heartbeat
-import flaxfield.workers.TaskState
 import flaxfield.workers.WorkerHealth
 import org.slf4j.LoggerFactory
 
 /**
- * The owning part's proofs that lost or drained tasks run again: a report of one of its machines, under the present
- * term and in the session of the record, that shows the task's newer attempt as running. One transaction takes the task
- * off the job's losses and off its team's ledger.
+ * Records that lost or drained tasks run again. The owner of a machine's shard runs it on the owner thread: a heartbeat
+ * under the present term, in the incarnation of the record, that shows the task's newer attempt as running is the
+ * proof. One transaction takes the task off the job's losses and off its team's ledger.
  */
 class RestoreReconciler(private val context: ControllerContext, private val health: WorkerHealth) {
-    /** Looks at the jobs in [candidates]. */
+    /** Looks at the jobs called [candidates] in [snapshot]. */
     fun run(snapshot: FleetSnapshot, candidates: Collection<String>) {
         val term = context.leadership.term() ?: return
         if (!context.leadership.mayAct()) return
@@ -26,62 +25,50 @@
             val job = snapshot.jobs[id] ?: continue
             if (job.cancelled) continue
             if (!context.transactions.mayWrite(WriteCause.PROOF, 2)) return
-            restore(snapshot, job, term)
+            restore(job, snapshot.ledgers[job.spec.team], term)
         }
     }
 
-    private fun restore(snapshot: FleetSnapshot, job: Job, term: ULong) {
-        val ledger = snapshot.ledgers[job.spec.team]
-        val running = job.allPlaced().filter { p ->
-            val stopped = ledger?.entries?.get(TaskId(job.id, p.index))
-            val lacking = job.isInterrupted(p.index) || stopped != null && p.attempt > stopped.attempt
-            lacking && !p.stopping && ProofOfRunning.canHold(job.id, p, health.known(p.machineName)?.heartbeat, term)
-        }.map { it.index }.toList()
-        // As many chunks as one transaction holds; the others follow.
-        val chunks = running.map {
-            it / job.chunkTasks
-        }.distinct().take(TaskEventCommitter.chunksAtOnce(context.settings.stateLimits))
-        val some = running.filter { it / job.chunkTasks in chunks }
-        if (some.isEmpty()) return
-        val write = TaskEventCommitter.write(job, job.restore(some), term)
-        val freed = some.map { TaskId(job.id, it) }.filter { ledger != null && it in ledger.entries }
-        val txn = if (ledger == null || freed.isEmpty()) write else write.alsoFreeing(ledger, freed)
-        if (txn.changes.any { context.transactions.isWritePending(it.key) }) return
-        context.transactions.submit(WriteCause.PROOF, txn) { outcome ->
+    private fun restore(job: Job, ledger: Ledger?, term: ULong) {
+        val running = job.allPlaced().filter { isProven(job, it, ledger, term) }.map { it.index }.toList()
+        val tasks = inOneTransaction(job, running)
+        if (tasks.isEmpty()) return
+        val write = TaskEventCommitter.write(job, job.restore(tasks), term)
+        val released = tasks.map { TaskId(job.id, it) }.filter { ledger != null && it in ledger.entries }
+        val transaction = if (ledger == null || released.isEmpty()) write else write.alsoReleasing(ledger, released)
+        if (transaction.changes.any { context.transactions.isWritePending(it.key) }) return
+        context.transactions.submit(WriteCause.PROOF, transaction) { outcome ->
             if (outcome is TransactionOutcome.Committed) {
-                log.info(
-                    "job={} tasks={} term={} run again",
-                    job.id,
-                    some,
-                    term,
-                )
+                log.info("event=tasks_restored job={} tasks={} term={}", job.id, tasks, term)
             }
         }
     }
 
-    private fun Transaction.alsoFreeing(ledger: Ledger, freed: List<TaskId>): Transaction {
+    /** Whether the task of [placement] counts as unavailable, and is proven to run again. */
+    private fun isProven(job: Job, placement: Placement, ledger: Ledger?, term: ULong): Boolean {
+        val disruption = ledger?.entries?.get(TaskId(job.id, placement.index))
+        val isUnavailable =
+            job.isInterrupted(placement.index) || disruption != null && placement.attempt > disruption.attempt
+        return isUnavailable &&
+            !placement.stopping &&
+            RunningTaskProof.isGivenBy(health.known(placement.machineName)?.heartbeat, job.id, placement, term)
+    }
+
+    /** Those of [tasks] whose chunks fit one transaction; the others follow in later runs. */
+    private fun inOneTransaction(job: Job, tasks: List<Int>): List<Int> {
+        val maxChunks = TaskEventCommitter.chunksAtOnce(context.settings.stateLimits)
+        val chunks = tasks.map { it / job.chunkTasks }.distinct().take(maxChunks)
+        return tasks.filter { it / job.chunkTasks in chunks }
+    }
+
+    private fun Transaction.alsoReleasing(ledger: Ledger, released: List<TaskId>): Transaction {
         val key = FleetKeys.LEDGER + ledger.team
-        val next = ledger.copy(entries = ledger.entries - freed.toSet())
-        return Transaction(conditions + (key to ledger.version), changes + Change.Put(key, DrainCodec.encode(next)))
+        val remaining = ledger.copy(entries = ledger.entries - released.toSet())
+        val put = Change.Put(key, DrainCodec.encode(remaining))
+        return Transaction(conditions + (key to ledger.version), changes + put)
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.drain")
     }
 }
-
-/** Pure: whether a report proves that a task runs where its record says. */
-object ProofOfRunning {
-    /** Whether [heartbeat], under [term], shows the attempt of [placed] as running. */
-    fun canHold(job: String, placed: flaxfield.jobs.Placement, heartbeat: Heartbeat?, term: ULong): Boolean =
-        heartbeat != null &&
-            heartbeat.machineName == placed.machineName &&
-            heartbeat.fencingToken == term &&
-            heartbeat.incarnation == placed.incarnation &&
-            heartbeat.tasks.any {
-                it.job == job &&
-                    it.index == placed.index &&
-                    it.attempt == placed.attempt.toULong() &&
-                    it.state == TaskState.RUNNING
-            }
-}
--- /dev/null
+++ b/src/main/kotlin/flaxfield/drain/RunningTaskProof.kt
@@ -0,0 +1,20 @@
+package flaxfield.drain
+
+import flaxfield.jobs.Placement
+import flaxfield.workers.Heartbeat
+import flaxfield.workers.TaskState
+
+/** Pure: whether a heartbeat proves that a task runs where its record says. */
+internal object RunningTaskProof {
+    /** Whether [heartbeat], sent under [term], shows the attempt of [placement] of [job] as running. */
+    fun isGivenBy(heartbeat: Heartbeat?, job: String, placement: Placement, term: ULong): Boolean = heartbeat != null &&
+        heartbeat.machineName == placement.machineName &&
+        heartbeat.fencingToken == term &&
+        heartbeat.incarnation == placement.incarnation &&
+        heartbeat.tasks.any {
+            it.job == job &&
+                it.index == placement.index &&
+                it.attempt == placement.attempt.toULong() &&
+                it.state == TaskState.RUNNING
+        }
+}
