--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -61,11 +61,14 @@
             drained -> Absence.DRAINED
             placed != null && placed.stopping -> Absence.STOPPING
             job.isInterrupted(index) -> Absence.LOST
-            placed != null && snapshot.machineStatuses[placed.machineName]?.state == MachineHealth.SILENT -> Absence.SILENT
+            placed != null && isSilent(placed) -> Absence.SILENT
             else -> null
         }
     }
 
+    private fun isSilent(placement: Placement): Boolean =
+        snapshot.machineStatuses[placement.machineName]?.state == MachineHealth.SILENT
+
     private fun count(): Map<String, TeamAvailability> {
         val totals = HashMap<String, Totals>()
         for (job in snapshot.jobs.values) if (counts(job)) add(job, totals.getOrPut(job.spec.team) { Totals() })
--- a/src/main/kotlin/flaxfield/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/flaxfield/drain/DisruptionBudgets.kt
@@ -1,6 +1,6 @@
 package flaxfield.drain
 
-/** The fleet files' rules for evictions and how each team stands against them. Exists only while all files are known. */
+/** The rules of the fleet files for evictions, and how each team stands against them. Requires all files to be known. */
 internal class DisruptionBudgets(private val snapshot: FleetSnapshot, val policy: FleetPolicy) {
     private val availability = Availability(snapshot, policy)
 
--- a/src/main/kotlin/flaxfield/operator/FinishedJobReader.kt
+++ b/src/main/kotlin/flaxfield/operator/FinishedJobReader.kt
@@ -7,31 +7,38 @@
 import flaxfield.store.StoreKeys
 import flaxfield.store.WriteCause
 
-/** What a look for a job that is over has found. */
-sealed interface FinishedLook {
-    data class Found(val job: FinishedJob) : FinishedLook
+/** The outcome of a lookup of a finished job. */
+sealed interface FinishedJobResult {
+    /** The job is finished. */
+    data class Found(val job: FinishedJob) : FinishedJobResult
 
-    data object Absent : FinishedLook
+    /** There is no such finished job. */
+    data object Absent : FinishedJobResult
 
     /** The state service has not answered, or may not be asked now. */
-    data object Unclear : FinishedLook
+    data object Unavailable : FinishedJobResult
 }
 
-/** Reads jobs that are over from the state service, one by one; the owner thread calls it. */
+/** Reads finished jobs from the state service, one by one; the owner thread calls it. */
 class FinishedJobReader(private val context: ControllerContext) {
-    /** Looks for the job called [id], which is no longer in the view. */
-    fun find(id: String, done: (FinishedLook) -> Unit) {
-        if (!context.transactions.budget.take(WriteCause.READ, 0, context.nowNs)) return done(FinishedLook.Unclear)
+    /** Reads the job called [id], which is not in the view; [done] is called once, on the owner thread. */
+    fun find(id: String, done: (FinishedJobResult) -> Unit) {
+        if (!context.transactions.budget.take(
+                WriteCause.READ,
+                0,
+                context.nowNs,
+            )
+        ) {
+            return done(FinishedJobResult.Unavailable)
+        }
         context.store.get(StoreKeys.FINISHED_JOB + id) { read ->
-            context.post {
-                done(
-                    when (read) {
-                        is ReadResult.Found -> FinishedLook.Found(JobCodec.decodeFinished(id, read.value))
-                        is ReadResult.Absent -> FinishedLook.Absent
-                        is ReadResult.Failed -> FinishedLook.Unclear
-                    },
-                )
-            }
+            context.post { done(result(id, read)) }
         }
     }
+
+    private fun result(id: String, read: ReadResult): FinishedJobResult = when (read) {
+        is ReadResult.Found -> FinishedJobResult.Found(JobCodec.decodeFinished(id, read.value))
+        is ReadResult.Absent -> FinishedJobResult.Absent
+        is ReadResult.Failed -> FinishedJobResult.Unavailable
+    }
 }
--- a/src/main/kotlin/flaxfield/operator/JobExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/JobExplainer.kt
@@ -1,129 +1,103 @@
 package flaxfield.operator
 
 import flaxfield.arrays.MachineHealth
-import flaxfield.arrays.PlacementCandidate
-import flaxfield.arrays.TopologyConstraint
 import flaxfield.drain.FleetSnapshot
-import flaxfield.gangs.GangPlacement
-import flaxfield.gangs.GangPlacementResult
+import flaxfield.jobs.FinishedJob
 import flaxfield.jobs.Job
-import flaxfield.jobs.Resources
+import flaxfield.jobs.Placement
 import flaxfield.operator.v1.JobExplanation
 import flaxfield.quota.TeamUsage
 import flaxfield.settings.Team
 import flaxfield.zones.FleetZoneRules
 import flaxfield.zones.RepeatGuard
 
+/** Why a job is in its state: a stable code for scripts and a description for people. */
+internal class JobReason(val code: String, val detail: String)
+
 /**
- * Pure: why a job waits, by the scheduler's own conditions in the order in which it asks them: the team's limit, the
- * machines that are allowed, and one placement round over the room that the records leave.
+ * Pure: why a job's tasks are pending, by the scheduler's own conditions in the order in which it checks them: the
+ * team's limit, the allowed machines, and one placement round over the resources that are free by the records.
  */
 class JobExplainer(private val snapshot: FleetSnapshot, private val teams: Map<String, Team>) {
-    private class Reason(val word: String, val sentence: String)
+    private val placement = PlacementExplainer(snapshot)
+    private val repeatGuard = RepeatGuard(FleetZoneRules { snapshot }) { snapshot.zones[it] }
 
-    /** What is known of [job]; its tasks wait for the condition that is named. */
+    /** The state of [job], with the first condition that its pending tasks wait for. */
     fun explain(job: Job): JobExplanation {
         val reason = reason(job)
-        val state = if (job.cancelled) {
-            "cancelled"
-        } else if (job.pendingCount > 0) {
-            "waiting"
-        } else {
-            "running"
-        }
         return JobExplanation.newBuilder()
             .setRevision(snapshot.revision.toLong())
             .setJob(job.id)
             .setTeam(job.spec.team)
-            .setState(state)
+            .setState(state(job))
             .setTasks(job.spec.taskCount)
             .setDone(job.doneCount)
             .setPlaced(job.placedCount)
-            .setReason(reason.word)
-            .setDetail(reason.sentence)
+            .setReason(reason.code)
+            .setDetail(reason.detail)
             .build()
     }
 
-    private fun reason(job: Job): Reason {
-        if (job.cancelled) return Reason("cancelled", "${job.placedCount} tasks are being stopped")
-        held(job)?.let { return it }
-        if (job.pendingCount == 0) return Reason("placed", "all tasks that are not done are on machines")
-        if (job.isGang &&
-            job.placedCount > 0
-        ) {
-            return Reason("gang_leaving", "${job.placedCount} tasks of the last attempt are still on machines")
-        }
-        if (job.isSuspect) {
-            return Reason(
+    private fun state(job: Job): String = when {
+        job.cancelled -> "cancelled"
+        job.pendingCount > 0 -> "waiting"
+        else -> "running"
+    }
+
+    private fun reason(job: Job): JobReason {
+        if (job.cancelled) return JobReason("cancelled", "${job.placedCount} tasks are being stopped")
+        heldByLostZone(job)?.let { return it }
+        return when {
+            job.pendingCount == 0 -> JobReason("placed", "all tasks that are not done are on machines")
+            job.isGang && job.placedCount > 0 ->
+                JobReason("gang_leaving", "${job.placedCount} tasks of the last attempt are still on machines")
+            job.isSuspect -> JobReason(
                 "fails_everywhere",
                 "${job.failureCount} failures on ${job.failedMachines.size} machines: tried again now and then",
             )
+            else -> limitedByQuota(job) ?: placement.explain(job)
         }
-        return limit(job) ?: room(job)
     }
 
-    private val guard = RepeatGuard(FleetZoneRules { snapshot }) { snapshot.zones[it] }
-
-    /** Whether a task of it waits for word from a zone that was lost: its class forbids a repeat. */
-    private fun held(job: Job): Reason? {
-        val machine = job.allPlaced().firstNotNullOfOrNull { p ->
-            val room = snapshot.machineStatuses[p.machineName]
-            val isHere = room?.state == MachineHealth.OK && room.incarnation == p.incarnation
-            snapshot.machines[p.machineName]?.takeIf { !isHere && guard.isHeld(job, it.zone) }
+    /** Set if a task was on a machine of a lost zone, may have ended there, and must not be restarted by its class. */
+    private fun heldByLostZone(job: Job): JobReason? {
+        val machine = job.allPlaced().firstNotNullOfOrNull { placement ->
+            snapshot.machines[placement.machineName]?.takeIf {
+                !isReported(placement) && repeatGuard.isHeld(job, it.zone)
+            }
         } ?: return null
-        val order = "zone abandon ${machine.zone} --class ${job.spec.jobClass}"
-        return Reason("held", "what it had on ${machine.name} may have ended there unheard; '$order' gives it up")
+        val command = "zone abandon ${machine.zone} --class ${job.spec.jobClass}"
+        return JobReason("held", "what it had on ${machine.name} may have ended there unheard; '$command' gives it up")
+    }
+
+    /** Whether the worker that was given the task still reports. */
+    private fun isReported(placement: Placement): Boolean {
+        val status = snapshot.machineStatuses[placement.machineName]
+        return status?.state == MachineHealth.OK && status.incarnation == placement.incarnation
     }
 
-    private fun limit(job: Job): Reason? {
+    private fun limitedByQuota(job: Job): JobReason? {
         val needed = if (job.isGang) job.spec.taskCount else 1
         val allowed = TeamUsage(snapshot.jobs.values, teams).allows(job.spec.team, job.spec.taskResources)
         if (allowed >= needed) return null
-        return Reason(
+        return JobReason(
             "team_limit",
             "team ${job.spec.team} may run $allowed more tasks of this size, $needed are needed",
         )
     }
 
-    private fun room(job: Job): Reason {
-        val allowed = snapshot.machines.values.filter {
-            TopologyConstraint.allowsMachineKind(job.spec, it.machineType, it.zone, it.preemptible)
-        }
-        if (allowed.isEmpty()) return Reason("no_machine", "no machine of an allowed type, zone and kind is rented")
-        val open = allowed.filter { it.takesWork && snapshot.machineStatuses[it.name]?.state == MachineHealth.OK }
-        if (open.isEmpty()) {
-            val drained = allowed.count { it.cordon != null }
-            return Reason(
-                "no_open_machine",
-                "of ${allowed.size} allowed machines none takes work now, $drained are drained",
-            )
-        }
-        val used = used()
-        val candidates = open.mapNotNull { m ->
-            val whole = snapshot.machineTypes[m.machineType]?.room ?: return@mapNotNull null
-            PlacementCandidate(m, 0uL, whole - (used[m.name] ?: Resources.NONE), emptyList(), m.name !in used)
-        }
-        val round = GangPlacement.run(job, candidates.map { it.copy() })
-        val free = candidates.sumOf { minOf(it.free.countFitting(job.spec.taskResources), job.pendingCount) }
-        return when {
-            job.isGang && round is GangPlacementResult.Infeasible ->
-                Reason(
-                    "no_room_for_gang",
-                    "${open.size} machines take work, the round placed ${round.assumed} of ${job.spec.taskCount} tasks",
-                )
-            !job.isGang && free == 0 -> Reason(
-                "no_room",
-                "none of ${open.size} machines that take work has room for a task",
-            )
-            else -> Reason("turn", "there is room for $free tasks: others go first, or the placement is on its way")
-        }
-    }
-
-    private fun used(): Map<String, Resources> {
-        val result = HashMap<String, Resources>()
-        for (job in snapshot.jobs.values) {
-            for (p in job.allPlaced()) result.merge(p.machineName, job.spec.taskResources, Resources::plus)
+    companion object {
+        /** What is known at [revision] of the job called [id], which is finished. */
+        fun finished(id: String, job: FinishedJob, revision: ULong): JobExplanation {
+            val outcome = if (job.aborted) "cancelled" else "done"
+            return JobExplanation.newBuilder()
+                .setRevision(revision.toLong())
+                .setJob(id)
+                .setState("over")
+                .setDone(job.done)
+                .setReason(outcome)
+                .setDetail("the job is over: $outcome")
+                .build()
         }
-        return result
     }
 }
--- a/src/main/kotlin/flaxfield/operator/OperatorServer.kt
+++ b/src/main/kotlin/flaxfield/operator/OperatorServer.kt
@@ -10,17 +10,17 @@
 import java.util.concurrent.Executors
 import java.util.concurrent.TimeUnit
 
-/** Listens for operators on an address of its own, apart from users and workers, on threads of its own. */
+/** The gRPC server for operators, on its own address and threads, apart from users and workers. */
 class OperatorServer(address: Address, service: OperatorService) {
     private val loop = NioEventLoopGroup(1)
-    private val threads = Executors.newFixedThreadPool(THREADS) { Thread(it, "operator").apply { isDaemon = true } }
+    private val executor = Executors.newFixedThreadPool(THREADS) { Thread(it, "operator").apply { isDaemon = true } }
     private val server: Server = NettyServerBuilder
         .forAddress(InetSocketAddress(address.host, address.port))
         .bossEventLoopGroup(loop)
         .workerEventLoopGroup(loop)
         .channelType(NioServerSocketChannel::class.java)
-        .executor(threads)
-        .maxInboundMessageSize(MAX_BYTES)
+        .executor(executor)
+        .maxInboundMessageSize(MAX_REQUEST_BYTES)
         .maxConcurrentCallsPerConnection(CALLS_PER_CONNECTION)
         .addService(service)
         .build()
@@ -31,19 +31,19 @@
         server.start()
     }
 
-    /** Takes no more calls, and waits up to [withinMs] for those under way. */
-    fun stop(withinMs: Long) {
+    /** Accepts no more calls, and waits up to [timeoutMs] for those under way before it ends them. */
+    fun stop(timeoutMs: Long) {
         server.shutdown()
-        server.awaitTermination(withinMs, TimeUnit.MILLISECONDS)
+        server.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS)
         server.shutdownNow()
     }
 
     private companion object {
-        /** Reads are short walks over a snapshot; two threads leave the owner thread its core. */
+        /** Reads are short iterations over a snapshot; two threads leave the owner thread its core. */
         const val THREADS = 2
 
-        /** A selector of some thousand machine names. */
-        const val MAX_BYTES = 128 * 1024
+        /** Holds a selector of some thousand machine names. */
+        const val MAX_REQUEST_BYTES = 128 * 1024
         const val CALLS_PER_CONNECTION = 16
     }
 }
--- a/src/main/kotlin/flaxfield/operator/ZoneAnswers.kt
+++ b/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
@@ -1,7 +1,6 @@
 package flaxfield.operator
 
 import flaxfield.drain.FleetSnapshot
-import flaxfield.operator.v1.Capacity
 import flaxfield.operator.v1.FairShare
 import flaxfield.operator.v1.HeldTasks
 import flaxfield.operator.v1.Zone
@@ -12,21 +11,21 @@
 import flaxfield.zones.ReturnRamp
 import flaxfield.zones.ZoneRecord
 
-/** Pure: what operators are told of zones. The same snapshot gives the same answer on every node. */
-class ZoneAnswers(private val snapshot: FleetSnapshot, private val teams: Map<String, Team>) {
+/** Pure: the zones of one snapshot as operators see them. The same on each controller at the same revision. */
+class ZoneResponses(private val snapshot: FleetSnapshot, private val teams: Map<String, Team>) {
     private val rules = FleetZoneRules { snapshot }
     private val guard = RepeatGuard(rules) { snapshot.zones[it] }
 
     /** All zones that machines may be in, by name. */
     fun zones(): List<Zone> {
         val offered = snapshot.machineTypes.values.flatMap { it.zones }
-        return (offered + snapshot.zones.keys).toSortedSet().map(::zone)
+        return (offered + snapshot.zones.keys).toSortedSet().map(::zoneMessage)
     }
 
     /** The zone called [name], or null. */
-    fun zone(name: String, all: List<Zone> = zones()): Zone? = all.firstOrNull { it.name == name }
+    fun zone(name: String): Zone? = zones().firstOrNull { it.name == name }
 
-    private fun zone(name: String): Zone {
+    private fun zoneMessage(name: String): Zone {
         val record = snapshot.zones[name] ?: ZoneRecord.healthy(name, 0)
         val machines = snapshot.machines.values.filter { it.zone == name }
         val abandoned = snapshot.abandons.values.filter { it.zone == name && it.incarnation == record.incarnation }
@@ -52,13 +51,13 @@
         return byClass.map { (jobClass, tasks) -> HeldTasks.newBuilder().setJobClass(jobClass).setTasks(tasks).build() }
     }
 
-    /** How the teams stand against their fair parts. */
-    fun shares(): List<FairShare> = FairLoss(snapshot, teams, rules).shares().map { s ->
-        FairShare.newBuilder().setTeam(
-            s.team,
-        ).setTarget(capacity(s.target)).setHeld(capacity(s.held)).setShortfall(s.shortfall).build()
+    /** How each team's capacity compares with its fair share. */
+    fun shares(): List<FairShare> = FairLoss(snapshot, teams, rules).shares().map { share ->
+        FairShare.newBuilder()
+            .setTeam(share.team)
+            .setTarget(share.target.toMessage())
+            .setHeld(share.held.toMessage())
+            .setShortfall(share.shortfall)
+            .build()
     }
-
-    private fun capacity(c: flaxfield.drain.Capacity) =
-        Capacity.newBuilder().setCpus(c.cpus).setAccelerators(c.accelerators).build()
 }
--- a/src/test/kotlin/flaxfield/drain/DrainMeasurement.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainMeasurement.kt
@@ -93,7 +93,7 @@
             "  plan of a turn: %.2f ms, of budgets: %.2f ms, machines list: %.2f ms".format(
                 time { DrainPlanner(snapshot).plan() },
                 time { snapshot.policy()?.let { Availability(snapshot, it).teams } },
-                time { flaxfield.operator.Answers(snapshot, 100).machines() },
+                time { flaxfield.operator.MachineResponses(snapshot).machines() },
             ),
         )
     }
--- a/src/test/kotlin/flaxfield/zones/ZoneDay.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneDay.kt
@@ -9,7 +9,7 @@
 import flaxfield.jobs.Priority
 import flaxfield.jobs.Resources
 import flaxfield.operator.JobExplainer
-import flaxfield.operator.ZoneAnswers
+import flaxfield.operator.ZoneResponses
 import flaxfield.operator.v1.Zone
 import flaxfield.settings.OperatorSettings
 import flaxfield.settings.StateLimits
@@ -100,7 +100,7 @@
     }
 
     /** What operators are told of the zone, by the controller that has seen most. */
-    fun answer(): Zone = ZoneAnswers(snapshot(), teams).zones().first { it.name == LOST_ZONE }
+    fun answer(): Zone = ZoneResponses(snapshot(), teams).zones().first { it.name == LOST_ZONE }
 
     /** Why the jobs of [jobClass] wait, in a word. */
     fun reasons(jobClass: String): Set<String> = snapshot().let { s ->
