--- a/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
@@ -57,11 +57,11 @@
             context.view.machineTypes[it.machine.machineType]?.room ?: Resources.NONE
         }
         val cycle = Cycle(candidates, context.scheduling.teamUsage(), headOfLine, term)
-        val tierGate = context.zones?.gate(underWay)
+        val tierGate = context.zones?.tierBarrier(underWay)
         for (job in context.scheduling.schedulingOrder(waiting, cycle.usage)) {
             if (tierGate?.admits(job) == false) break
             if (!turns.isOurTurn(job)) {
-                tierGate?.passOver(job)
+                tierGate?.holdBack(job)
                 continue
             }
             // Later jobs are less urgent: none of them goes first for want of write budget.
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
@@ -1,8 +1,8 @@
 package flaxfield.arrays
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -54,7 +54,7 @@
         val statuses = Array(pages) { HashMap<String, MachineStatus>() }
         for (machine in owned) {
             statuses[ShardSummaryPages.pageOf(machine.name, pages)][machine.name] =
-                workerHealth.workerState(machine.name).room(workerHealth.state(machine.name))
+                workerHealth.workerState(machine.name).toMachineStatus(workerHealth.state(machine.name))
         }
         return statuses
     }
@@ -83,7 +83,7 @@
         val key = StoreKeys.shardSummary(context.self.name, page)
         if (context.transactions.isWritePending(key)) return
         val transaction = Transaction(
-            TaskEventCommitter.fence(context) + (key to context.view.version(key)),
+            JobTransactions.assignmentFence(context) + (key to context.view.version(key)),
             listOf(Change.Put(key, ShardSummaryCodec.encode(summary))),
         )
         val cause = if (isUrgent) WriteCause.FLEET else WriteCause.ROOM
--- a/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
+++ b/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
@@ -36,11 +36,11 @@
         refreshedAtVersion = view.jobsVersion
         refreshAfterNs = nowNs + (settings.workers.heartbeatIntervalS * NANOS_PER_SECOND).toLong()
         reservations.update(view.jobs.values, view.machineTypes.values, clock.dayMs(), RESERVED_MS)
-        starvation.note(view.jobs.values, clock.dayMs())
+        starvation.update(view.jobs.values, clock.dayMs())
     }
 
     /** Whether a job has waited so long that nothing is reserved against it any more. */
-    fun isStarved(job: Job): Boolean = starvation.long(job, clock.dayMs())
+    fun isStarved(job: Job): Boolean = starvation.isStarved(job, clock.dayMs())
 
     /**
      * How many more tasks of [job] its team's limit admits beside [usage]. Arrays leave a part of it to the team's
--- a/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
@@ -4,7 +4,7 @@
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachineType
 import flaxfield.jobs.Job
-import flaxfield.members.ShardAssignment
+import flaxfield.membership.ShardAssignment
 import flaxfield.zones.AbandonOrder
 import flaxfield.zones.ZoneRecord
 import kotlinx.collections.immutable.PersistentMap
--- a/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
@@ -1,9 +1,10 @@
 package flaxfield.drain
 
+import flaxfield.jobs.TaskId
+import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
 import flaxfield.jobs.Placement
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.Transaction
 import flaxfield.store.TransactionOutcome
@@ -33,7 +34,7 @@
         val running = job.allPlaced().filter { isProven(job, it, ledger, term) }.map { it.index }.toList()
         val tasks = inOneTransaction(job, running)
         if (tasks.isEmpty()) return
-        val write = TaskEventCommitter.write(job, job.restore(tasks), term)
+        val write = JobTransactions.update(job, job.restore(tasks), term)
         val released = tasks.map { TaskId(job.id, it) }.filter { ledger != null && it in ledger.entries }
         val transaction = if (ledger == null || released.isEmpty()) write else write.alsoReleasing(ledger, released)
         if (transaction.changes.any { context.transactions.isWritePending(it.key) }) return
@@ -56,7 +57,7 @@
 
     /** Those of [tasks] whose chunks fit one transaction; the others follow in later runs. */
     private fun inOneTransaction(job: Job, tasks: List<Int>): List<Int> {
-        val maxChunks = TaskEventCommitter.chunksAtOnce(context.settings.stateLimits)
+        val maxChunks = JobTransactions.maxChunks(context.settings.stateLimits)
         val chunks = tasks.map { it / job.chunkTasks }.distinct().take(maxChunks)
         return tasks.filter { it / job.chunkTasks in chunks }
     }
--- a/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
@@ -40,7 +40,7 @@
         val overdueBeforeMs = JobOrder.overdueBeforeMs(context.nowMs)
         val ordered = context.scheduling.schedulingOrder(waiting, usage)
         val demands = ArrayList<CapacityDemand>()
-        for (job in LargeGangReservation.first(reservedGang(waiting, usage), ordered)) {
+        for (job in LargeGangReservation.withReservedFirst(reservedGang(waiting, usage), ordered)) {
             // A job that seems to be a mistake is tried on existing machines for a long time before any is rented.
             if (job.isDeprioritized(overdueBeforeMs)) continue
             val tasks = minOf(slots(job), context.scheduling.admissibleTasks(job, usage))
@@ -70,8 +70,8 @@
     /** The large gang that capacity is kept together for, unless its team's limit keeps it from starting. */
     private fun reservedGang(waiting: List<Job>, usage: TeamUsage): Job? {
         val gangs = waiting.filter { it.isGang && it.placedCount == 0 }
-        return LargeGangReservation.next(gangs, LargeGangReservation.overdueBeforeMs(context.nowMs))?.takeIf {
-            usage.allows(it.spec.team, it.spec.taskResources) >= it.spec.taskCount
+        return LargeGangReservation.selectGang(gangs, LargeGangReservation.overdueBeforeMs(context.nowMs))?.takeIf {
+            usage.remainingTasks(it.spec.team, it.spec.taskResources) >= it.spec.taskCount
         }
     }
 
@@ -81,7 +81,7 @@
     private fun slots(job: Job): Int {
         if (job.isGang) return job.pendingCount
         val bootTimeS = allowedMachineTypes(job.spec).minOfOrNull { it.bootTimeS } ?: 0.0
-        return ShortTaskPolicy.rented(
+        return ShortTaskPolicy.placesToProvision(
             job.spec,
             job.pendingCount,
             job.placedCount,
--- a/src/main/kotlin/flaxfield/fleet/MachineTypeRefresher.kt
+++ b/src/main/kotlin/flaxfield/fleet/MachineTypeRefresher.kt
@@ -1,9 +1,9 @@
 package flaxfield.fleet
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -36,7 +36,7 @@
     }
 
     private fun isStoredCopyRecent(): Boolean = context.view.machineTypes.isNotEmpty() &&
-        context.nowMs - context.view.flavorsAtMs < REFRESH_INTERVAL_S * MILLIS_PER_SECOND
+        context.nowMs - context.view.machineTypesWrittenMs < REFRESH_INTERVAL_S * MILLIS_PER_SECOND
 
     private fun onResponse(machineTypes: Map<String, MachineType>?) {
         requestOpen = false
@@ -49,7 +49,7 @@
 
     private fun store(machineTypes: Collection<MachineType>) {
         val key = StoreKeys.MACHINE_TYPES
-        val conditions = TaskEventCommitter.fence(context) + (key to context.view.version(key))
+        val conditions = JobTransactions.assignmentFence(context) + (key to context.view.version(key))
         val put = Change.Put(key, FleetCodec.encodeMachineTypes(machineTypes, context.nowMs))
         context.transactions.submit(WriteCause.FLEET, Transaction(conditions, listOf(put)))
     }
--- a/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
@@ -1,11 +1,11 @@
 package flaxfield.fleet
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.arrays.MachineHealth
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -63,7 +63,7 @@
             val retired = it.machine.copy(phase = it.reason.phase, reservation = null)
             Change.Put(StoreKeys.MACHINE + it.machine.name, FleetCodec.encode(retired))
         }
-        val transaction = Transaction(TaskEventCommitter.fence(context) + versions, puts)
+        val transaction = Transaction(JobTransactions.assignmentFence(context) + versions, puts)
         return context.transactions.submit(WriteCause.FLEET, transaction)
     }
 
--- a/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
@@ -1,5 +1,6 @@
 package flaxfield.fleet
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.TaskEvent
 import flaxfield.jobs.TaskEventCommitter
@@ -112,7 +113,7 @@
         for (batch in deletable.chunked(context.transactions.budget.bulk(context.settings.stateLimits.txnOps))) {
             val versions = batch.associate { StoreKeys.MACHINE + it.name to it.version }
             val deletions = batch.map { Change.Delete(StoreKeys.MACHINE + it.name) }
-            val transaction = Transaction(TaskEventCommitter.fence(context) + versions, deletions)
+            val transaction = Transaction(JobTransactions.assignmentFence(context) + versions, deletions)
             if (!context.transactions.submit(WriteCause.FLEET, transaction)) return
         }
     }
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
@@ -44,7 +44,7 @@
 
     private fun pack(limits: ZoneLimits): PackingResult {
         val bins = bins()
-        val filter = MachineKindFilter(context.scheduling.reservations::rents)
+        val filter = MachineKindFilter(context.scheduling.reservations::isUnreservedFor)
         val offers = OfferSelector(context.view.machineTypes, filter, zoneLoad()) { price(it, limits) }
         return BinPacker(offers, filter, maxNewMachines()).pack(capacity.demands(), bins)
     }
@@ -119,7 +119,7 @@
     }
 
     private fun isBackfill(job: Job, machine: Machine) =
-        context.scheduling.reservations.guests(job.spec, machine.machineType, machine.preemptible)
+        context.scheduling.reservations.isBackfill(job.spec, machine.machineType, machine.preemptible)
 
     private fun updateIdleMachines(usedMachines: Set<String>, nowNs: Long) {
         val view = context.view
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
@@ -1,8 +1,8 @@
 package flaxfield.fleet
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -102,7 +102,7 @@
         val isComplete = missing.size <= batchSize
         val deletion = if (isComplete) listOf(Change.Delete(StoreKeys.RENTAL + rental.name)) else emptyList()
         val conditions =
-            TaskEventCommitter.fence(context) + (StoreKeys.RENTAL + rental.name to rental.version) +
+            JobTransactions.assignmentFence(context) + (StoreKeys.RENTAL + rental.name to rental.version) +
                 batch.associate { StoreKeys.MACHINE + it to 0uL }
         context.transactions.submit(WriteCause.FLEET, Transaction(conditions, puts + deletion))
     }
@@ -130,7 +130,7 @@
             0uL,
         )
         val key = StoreKeys.RENTAL + rental.name
-        val conditions = TaskEventCommitter.fence(context) + (key to 0uL)
+        val conditions = JobTransactions.assignmentFence(context) + (key to 0uL)
         val transaction = Transaction(conditions, listOf(Change.Put(key, FleetCodec.encode(rental))))
         if (!context.transactions.submit(WriteCause.FLEET, transaction)) return
         log.info(
--- a/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
@@ -1,6 +1,6 @@
 package flaxfield.jobs
 
-import flaxfield.arrays.ArrayScheduler
+import flaxfield.arrays.InitialPlacement
 import flaxfield.controller.ControllerContext
 import flaxfield.net.Responder
 import flaxfield.store.StoreKeys
@@ -12,7 +12,7 @@
  *
  * @param begin places the first tasks of a job that is just being submitted, if that can be done at once
  */
-class JobRequestHandler(private val context: ControllerContext, begin: (Job) -> ArrayScheduler.InitialPlacement?) {
+class JobRequestHandler(private val context: ControllerContext, begin: (Job) -> InitialPlacement?) {
     private val reader = JobReader(context)
     private val submitter = JobSubmitter(context, reader, begin, ::status)
     private val canceller = JobCanceller(context, reader)
--- a/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -1,7 +1,7 @@
 package flaxfield.jobs
 
+import flaxfield.arrays.InitialPlacement
 import flaxfield.BYTES_PER_KIB
-import flaxfield.arrays.ArrayScheduler
 import flaxfield.codec.Cbor
 import flaxfield.codec.MalformedException
 import flaxfield.controller.ControllerContext
@@ -23,7 +23,7 @@
 internal class JobSubmitter(
     private val context: ControllerContext,
     private val reader: JobReader,
-    private val begin: (Job) -> ArrayScheduler.InitialPlacement?,
+    private val begin: (Job) -> InitialPlacement?,
     private val sendStatus: (String, Responder) -> Unit,
 ) {
     private val tasksPerChunk = JobTransactions.tasksPerChunk(context.settings.stateLimits)
--- a/src/main/kotlin/flaxfield/operator/JobExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/JobExplainer.kt
@@ -78,7 +78,7 @@
 
     private fun limitedByQuota(job: Job): JobReason? {
         val needed = if (job.isGang) job.spec.taskCount else 1
-        val allowed = TeamUsage(snapshot.jobs.values, teams).allows(job.spec.team, job.spec.taskResources)
+        val allowed = TeamUsage(snapshot.jobs.values, teams).remainingTasks(job.spec.team, job.spec.taskResources)
         if (allowed >= needed) return null
         return JobReason(
             "team_limit",
--- a/src/main/kotlin/flaxfield/operator/PlacementExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/PlacementExplainer.kt
@@ -34,7 +34,7 @@
     /** The result of one placement round over [machines]. */
     private fun explainRound(job: Job, machines: List<Machine>): JobReason {
         val candidates = candidates(machines)
-        val round = GangPlacement.run(job, candidates.map { it.copy() })
+        val round = GangPlacement.place(job, candidates.map { it.copy() })
         val fitting = candidates.sumOf { minOf(it.free.countFitting(job.spec.taskResources), job.pendingCount) }
         return when {
             job.isGang && round is GangPlacementResult.Infeasible -> JobReason(
--- a/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
@@ -5,7 +5,7 @@
 import flaxfield.operator.v1.HeldTasks
 import flaxfield.operator.v1.Zone
 import flaxfield.settings.Team
-import flaxfield.zones.FairLoss
+import flaxfield.zones.TeamShareCalculator
 import flaxfield.zones.FleetZoneRules
 import flaxfield.zones.RepeatGuard
 import flaxfield.zones.ReturnRamp
@@ -52,7 +52,7 @@
     }
 
     /** How each team's capacity compares with its fair share. */
-    fun shares(): List<FairShare> = FairLoss(snapshot, teams, rules).shares().map { share ->
+    fun shares(): List<FairShare> = TeamShareCalculator(snapshot, teams, rules).shares().map { share ->
         FairShare.newBuilder()
             .setTeam(share.team)
             .setTarget(share.target.toMessage())
--- a/src/main/kotlin/flaxfield/store/ClusterReplica.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterReplica.kt
@@ -68,7 +68,7 @@
                     records.rentals,
                     key.removePrefix(StoreKeys.RENTAL),
                     value?.let {
-                        FleetCodec.hire(it, key, version)
+                        FleetCodec.decodeRental(it, key, version)
                     },
                 )
             key.startsWith(StoreKeys.ZONE) ->
--- a/src/main/kotlin/flaxfield/store/MachineRecords.kt
+++ b/src/main/kotlin/flaxfield/store/MachineRecords.kt
@@ -25,7 +25,7 @@
     /** Takes in the record of machine [name], stored under [key]; a null [value] says that it was deleted. */
     fun set(name: String, key: String, value: FieldMap?, keyVersion: ULong) {
         version++
-        if (value == null) byName.remove(name) else byName[name] = FleetCodec.machine(value, key, keyVersion)
+        if (value == null) byName.remove(name) else byName[name] = FleetCodec.decodeMachine(value, key, keyVersion)
         if (byName[name]?.reservation != null) reserved += name else reserved -= name
     }
 }
--- a/src/main/kotlin/flaxfield/store/ShardSummaryRecords.kt
+++ b/src/main/kotlin/flaxfield/store/ShardSummaryRecords.kt
@@ -22,8 +22,8 @@
     /** Takes in the page stored under [key]; a null [page] says that it was deleted. */
     fun set(key: String, page: ShardSummary?) {
         val old = if (page == null) byKey.remove(key) else byKey.put(key, page)
-        old?.hosts?.forEach { (machineName, status) -> removeStatus(machineName, status) }
-        page?.hosts?.forEach { (machineName, status) -> setStatus(machineName, page.term, status) }
+        old?.machines?.forEach { (machineName, status) -> removeStatus(machineName, status) }
+        page?.machines?.forEach { (machineName, status) -> setStatus(machineName, page.term, status) }
     }
 
     /** The row may have moved to another page already: only the very row of the old page goes. */
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -58,7 +58,7 @@
             ZoneCoverage(count.expected, HeartbeatCoverage.of(count.expected, count.reporting, ownsLongEnough))
         }
         val misrouted = misroutedHeartbeatNs.filterValues { it > sinceNs }.keys.filter {
-            own[it]?.coverage?.isSign != true
+            own[it]?.coverage?.showsReachable != true
         }
         return own + misrouted.associateWith { ZoneCoverage(own[it]?.expected ?: 0, HeartbeatCoverage.SOME) }
     }
--- a/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
@@ -1,9 +1,9 @@
 package flaxfield.zones
 
+import flaxfield.jobs.JobTransactions
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
 import flaxfield.fleet.MachinePhase
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -42,7 +42,7 @@
     private fun write(record: ZoneRecord, expectedMachines: Int) {
         val key = StoreKeys.ZONE + record.zone
         if (context.transactions.isWritePending(key)) return
-        val conditions = TaskEventCommitter.fence(context) + (key to record.version)
+        val conditions = JobTransactions.assignmentFence(context) + (key to record.version)
         val term = context.leadership.term()
         val transaction = Transaction(conditions, listOf(Change.Put(key, ZoneCodec.encode(record))))
         context.transactions.submit(WriteCause.FLEET, transaction) { outcome ->
--- a/src/test/kotlin/flaxfield/fleet/CapacityPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/fleet/CapacityPlannerTest.kt
@@ -9,10 +9,10 @@
 import flaxfield.jobs.JobKind
 import flaxfield.jobs.Priority
 import flaxfield.jobs.Resources
-import flaxfield.members.Member
+import flaxfield.membership.Member
 import flaxfield.net.HttpTransport
 import flaxfield.settings.OperatorSettings
-import flaxfield.store.ClusterView
+import flaxfield.store.ClusterReplica
 import flaxfield.store.KeyUpdate
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
@@ -43,9 +43,10 @@
         val settings = Samples.settings().copy(
             teams = listOf(Samples.team("red", gpusMax = 10.0)).associateBy { it.name },
         )
-        val view = ClusterView()
+        val replica = ClusterReplica()
+        val view = replica.view
         for (job in jobs) {
-            view.apply(KeyUpdate(StoreKeys.JOB + job.id, Cbor.decode(Cbor.encode(JobCodec.encodeHead(job))), 1uL))
+            replica.apply(KeyUpdate(StoreKeys.JOB + job.id, Cbor.decode(Cbor.encode(JobCodec.encodeHead(job))), 1uL))
         }
         val store = StoreClient(noTransport, noTransport, 1)
         val context =
--- a/src/test/kotlin/flaxfield/golden/CloudProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/CloudProtocol.kt
@@ -1,7 +1,7 @@
 package flaxfield.golden
 
 import flaxfield.fleet.CloudClient
-import flaxfield.fleet.ListPage
+import flaxfield.fleet.MachineListPage
 import flaxfield.fleet.ListedMachine
 import flaxfield.fleet.RentalResponse
 import flaxfield.golden.GoldenCases.textOnly
@@ -16,9 +16,9 @@
     private val requests = listOf(
         request("flavors") { it.machineTypes {} },
         request("rent") { it.rent(StoredSamples.rental) {} },
-        request("return") { it.giveBack(listOf("host-1", "host-2")) {} },
-        request("list") { it.list(null) {} },
-        request("list-from") { it.list("host-7") {} },
+        request("return") { it.returnMachines(listOf("host-1", "host-2")) {} },
+        request("list") { it.listMachines(null) {} },
+        request("list-from") { it.listMachines("host-7") {} },
     )
 
     private fun request(name: String, send: (CloudClient) -> Unit) = textOnly("request-$name.txt") {
@@ -29,7 +29,7 @@
     private val sentTypes = StoredSamples.machineTypes.map {
         mapOf(
             "label" to it.label, "vcpus" to it.room.cpus, "accelerators" to it.room.gpus, "ram_gb" to it.room.ram,
-            "local_gb" to it.cacheGb, "pull_gb_per_s" to it.fetchGbPerS, "rate" to it.rate,
+            "local_gb" to it.cacheGb, "pull_gb_per_s" to it.fetchGbPerS, "rate" to it.onDemandPricePerHour,
             "low_price" to it.spotPricePerHour,
             "ready_s" to it.bootTimeS, "sites" to it.zones,
         )
@@ -38,7 +38,7 @@
         "hosts" to listOf(mapOf("id" to "host-1", "phase" to "ready"), mapOf("id" to "host-2", "phase" to "failed")),
         "more" to true,
     )
-    private val readPage = ListPage(listOf(ListedMachine("host-1", false), ListedMachine("host-2", true)), true)
+    private val readPage = MachineListPage(listOf(ListedMachine("host-1", false), ListedMachine("host-2", true)), true)
 
     private val answers = listOf(
         answer("flavors", OK, mapOf("flavors" to sentTypes), machineTypes) { client, done ->
@@ -54,8 +54,8 @@
         answer("no-capacity", UNAVAILABLE, mapOf("error" to "no capacity"), RentalResponse.NoCapacity, ::rent),
         answer("unavailable", UNAVAILABLE, mapOf("error" to "later"), RentalResponse.Unclear, ::rent),
         answer("malformed", BAD, mapOf("error" to "how_many"), RentalResponse.Malformed, ::rent),
-        answer("listed", OK, sentPage, readPage) { client, done -> client.list(null) { done(it) } },
-        answer("returned", OK, emptyMap(), true) { client, done -> client.giveBack(listOf("host-1"), done) },
+        answer("listed", OK, sentPage, readPage) { client, done -> client.listMachines(null) { done(it) } },
+        answer("returned", OK, emptyMap(), true) { client, done -> client.returnMachines(listOf("host-1"), done) },
     )
 
     private fun rent(client: CloudClient, done: (RentalResponse) -> Unit) = client.rent(StoredSamples.rental, done)
--- a/src/test/kotlin/flaxfield/golden/StateServiceProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/StateServiceProtocol.kt
@@ -3,8 +3,9 @@
 import flaxfield.golden.GoldenCases.textOnly
 import flaxfield.net.HttpTransport
 import flaxfield.store.Change
-import flaxfield.store.KeyPage
+import flaxfield.store.ListResult
 import flaxfield.store.KeyUpdate
+import flaxfield.store.LeaseGrantResult
 import flaxfield.store.ReadResult
 import flaxfield.store.StoreClient
 import flaxfield.store.Transaction
@@ -37,10 +38,10 @@
         request("present") { it.existingKeys(listOf("over/job-1", "over/job-2")) {} },
         request("list") { it.list("live/", null, 500) {} },
         request("list-from") { it.list("live/", "live/job/ü 1", 500) {} },
-        request("follow") { it.follow("live/", large, 20_000) {} },
-        request("lease") { it.lease(8_000) {} },
-        request("lease-extend") { it.extend(large) {} },
-        request("lease-release") { it.release(large) {} },
+        request("follow") { it.watch("live/", large, 20_000) {} },
+        request("lease") { it.grantLease(8_000) {} },
+        request("lease-extend") { it.renewLease(large) {} },
+        request("lease-release") { it.revokeLease(large) {} },
     )
 
     private fun request(name: String, send: (StoreClient) -> Unit) = textOnly("request-$name.txt") {
@@ -85,7 +86,7 @@
             "page",
             OK,
             mapOf("items" to items, "more" to true, "ledger" to 9),
-            KeyPage(listOf(item("live/a")), true, 9uL),
+            ListResult.Page(listOf(item("live/a")), true, 9uL),
         ) {
                 client,
                 done,
@@ -101,12 +102,14 @@
                 c,
                 done,
             ->
-            c.follow("live/", 1uL, 1) { done(it) }
+            c.watch("live/", 1uL, 1) { done(it) }
         },
         answer("too-old", GONE, emptyMap(), WatchResult.Compacted) { client, done ->
-            client.follow("live/", 1uL, 1) { done(it) }
+            client.watch("live/", 1uL, 1) { done(it) }
+        },
+        answer("lease", OK, mapOf("tether" to large), LeaseGrantResult.Granted(large)) { client, done ->
+            client.grantLease(1, done)
         },
-        answer("lease", OK, mapOf("tether" to large), large) { client, done -> client.lease(1) { done(it) } },
     )
 
     private fun item(key: String) = KeyUpdate(key, flaxfield.codec.FieldMap(value), large)
--- a/src/test/kotlin/flaxfield/golden/StoredRecords.kt
+++ b/src/test/kotlin/flaxfield/golden/StoredRecords.kt
@@ -41,12 +41,12 @@
         "machine" to StoredSamples.machine,
         "machine-claimed" to StoredSamples.claimedMachine,
         "machine-cordoned" to StoredSamples.cordonedMachine,
-    ).map { (name, value) -> record(name, value, FleetCodec::encode) { FleetCodec.machine(it, "live/host/host-1", VERSION) } } +
-        record("rental", StoredSamples.rental, FleetCodec::encode) { FleetCodec.hire(it, "live/hire/rental-1", VERSION) } +
+    ).map { (name, value) -> record(name, value, FleetCodec::encode) { FleetCodec.decodeMachine(it, "live/host/host-1", VERSION) } } +
+        record("rental", StoredSamples.rental, FleetCodec::encode) { FleetCodec.decodeRental(it, "live/hire/rental-1", VERSION) } +
         record(
             "machine-types",
             StoredSamples.machineTypes.associateBy { it.label },
-            { FleetCodec.encodeFlavors(it.values, StoredSamples.TIME_MS) },
+            { FleetCodec.encodeMachineTypes(it.values, StoredSamples.TIME_MS) },
             FleetCodec::machineTypes,
         )
 
--- a/src/test/kotlin/flaxfield/golden/UserProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/UserProtocol.kt
@@ -20,7 +20,7 @@
     private const val NOT_FOUND = 404
 
     private val submissions = StoredSamples.shapesAndPriorities.map { spec ->
-        record("submission-${spec.jobKind.name.lowercase()}-${spec.priority.name.lowercase()}", spec, JobCodec::encodeSpec, JobCodec::spec)
+        record("submission-${spec.jobKind.name.lowercase()}-${spec.priority.name.lowercase()}", spec, JobCodec::encodeSpec, JobCodec::decodeSpec)
     }
 
     private val job = Samples.job(StoredSamples.plainSpec)
@@ -41,7 +41,7 @@
     }
 
     private fun fault(map: Map<String, Any?>): String = try {
-        JobCodec.spec(Cbor.decode(Cbor.encode(map)))
+        JobCodec.decodeSpec(Cbor.decode(Cbor.encode(map)))
         "taken"
     } catch (e: MalformedException) {
         e.message.orEmpty()
@@ -61,7 +61,7 @@
         val calls = RecordingCalls.answering(stateStatus, Cbor.encode(mapOf("ledger" to 0)))
         val sample = ControllerSample(calls)
         sample.assign()
-        sample.put(StoreKeys.MACHINE_TYPES, FleetCodec.encodeFlavors(StoredSamples.machineTypes, StoredSamples.TIME_MS))
+        sample.put(StoreKeys.MACHINE_TYPES, FleetCodec.encodeMachineTypes(StoredSamples.machineTypes, StoredSamples.TIME_MS))
         sample.put(StoreKeys.JOB + knownSpec.id, JobCodec.encodeHead(Samples.job(knownSpec).on(0 to "host-1")))
         val told = StringBuilder()
         ask(JobRequestHandler(sample.context) { null }) { status, body, retryAfterS ->
--- a/src/test/kotlin/flaxfield/store/ClusterViewTest.kt
+++ b/src/test/kotlin/flaxfield/store/ClusterViewTest.kt
@@ -70,7 +70,7 @@
             KeyUpdate(
                 StoreKeys.MACHINE_TYPES,
                 stored(
-                    FleetCodec.encodeFlavors(
+                    FleetCodec.encodeMachineTypes(
                         listOf(Samples.machineType("big", Resources(16.0, 4.0, 64.0), 8.0, 3.0)),
                         1,
                     ),
--- a/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
@@ -5,13 +5,13 @@
 import flaxfield.controller.Clock
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.TaskEventCommitter
-import flaxfield.members.Member
-import flaxfield.members.MemberCodec
+import flaxfield.membership.Member
+import flaxfield.membership.MemberCodec
 import flaxfield.net.HttpTransport
 import flaxfield.peers.PeerConnection
 import flaxfield.peers.PeerGateway
 import flaxfield.settings.OperatorSettings
-import flaxfield.store.ClusterView
+import flaxfield.store.ClusterReplica
 import flaxfield.store.KeyUpdate
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
@@ -29,12 +29,12 @@
     private val self = Member("n-0", "run1", "a")
     private val other = Member("n-1", "run1", "b")
     private val silence = HttpTransport { _, _, _, _, _ -> }
-    private val view = ClusterView()
+    private val replica = ClusterReplica()
 
     // Two zones, each with one of the two controllers: a machine's zone tells its owner.
     private val settings = Samples.settings().copy(zones = 2)
     private val context =
-        ControllerContext(settings, OperatorSettings(), self, clock, StoreClient(silence, silence, 1), view) { it() }
+        ControllerContext(settings, OperatorSettings(), self, clock, StoreClient(silence, silence, 1), replica.view) { it() }
     private val workerHealth = WorkerHealth(context)
     private val handler = HeartbeatHandler(
         context,
@@ -45,7 +45,7 @@
     )
 
     private fun put(key: String, value: Map<String, Any?>, version: ULong) =
-        view.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), version))
+        replica.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), version))
 
     private fun viewRead() {
         context.storeContact.noteResponse()
--- a/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
@@ -12,10 +12,10 @@
 import flaxfield.jobs.JobKind
 import flaxfield.jobs.Priority
 import flaxfield.jobs.TaskEvent
-import flaxfield.members.Member
+import flaxfield.membership.Member
 import flaxfield.net.HttpTransport
 import flaxfield.settings.OperatorSettings
-import flaxfield.store.ClusterView
+import flaxfield.store.ClusterReplica
 import flaxfield.store.KeyUpdate
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
@@ -50,9 +50,10 @@
         val settings = Samples.settings().copy(
             teams = listOf(Samples.team("red", gpus = 6.0), Samples.team("blue")).associateBy { it.name },
         )
-        val view = ClusterView()
+        val replica = ClusterReplica()
+        val view = replica.view
         fun put(key: String, value: Map<String, Any?>) =
-            view.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), 1uL))
+            replica.apply(KeyUpdate(key, Cbor.decode(Cbor.encode(value)), 1uL))
         for (n in 0 until 12) {
             val zone = if (n % 2 == 0) "a" else "b"
             put(StoreKeys.MACHINE + "host-$n", FleetCodec.encode(Samples.machine("host-$n", zone)))
--- a/src/test/kotlin/flaxfield/zones/RepeatGuardTest.kt
+++ b/src/test/kotlin/flaxfield/zones/RepeatGuardTest.kt
@@ -22,7 +22,7 @@
         }
         val deed = Samples.job(Samples.spec(id = "job-1", jobClass = "deed")).copy(submittedMs = 5_000)
         val unknown = TaskEvent.Lost("job-1", 0, 1, "host-1", "tenure 2", failed = false, outcomeUnknown = true)
-        val known = unknown.copy(why = "error", outcomeUnknown = false)
+        val known = unknown.copy(reason = "error", outcomeUnknown = false)
         val base = ZoneRecord.healthy("a", 0).copy(incarnation = 1)
         fun held(record: ZoneRecord?, event: TaskEvent = unknown, job: Job = deed) =
             RepeatGuard(rules) { record }.mustDefer(job, event, "a")
