--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -77,7 +77,7 @@
 
 /**
  * Which task is evicted first: of the lowest priority, then one that saves checkpoints, then of the latest job. A task
- * without checkpoints starts anew after each eviction, while one with them loses little.
+ * without checkpoints starts over after each eviction, while one with them loses little.
  */
 object EvictionOrder : Comparator<PlacedTask> {
     private val order = compareBy<PlacedTask>(
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryPages.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryPages.kt
@@ -7,7 +7,7 @@
  * change then writes one page, and a page is too large at no number of machines.
  */
 object ShardSummaryPages {
-    /** The size that a machine's row is counted with: name, state, incarnation and address, and images up to the rest. */
+    /** The size that a row is counted with: name, state, incarnation and address, and images up to the rest. */
     const val ROW_BYTES = 320
 
     /** What a row takes without its images. */
--- a/src/main/kotlin/flaxfield/arrays/ShardTurns.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardTurns.kt
@@ -40,7 +40,7 @@
     private fun sortedMembers(): List<String>? = context.view.assignment?.members?.map { it.name }?.sorted()
 
     private companion object {
-        /** The time between two owners' turns, in heartbeat intervals: a write, and its arrival in the others' views. */
+        /** The time between two turns, in heartbeat intervals: a write, and its arrival in the others' views. */
         const val TURN_HEARTBEATS = 0.06
     }
 }
--- a/src/main/kotlin/flaxfield/gangs/GangCandidates.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangCandidates.kt
@@ -75,7 +75,7 @@
         return PlacementCandidate(machine, status.incarnation, free, status.images, isEmpty)
     }
 
-    /** Whether anything on the machine might make way for a gang; most machines run only gangs that stay. */
+    /** Whether anything on the machine may leave or be preempted; most machines run only gangs, which are not. */
     private fun mayBeEvicted(machineName: String): Boolean =
         context.view.jobsOn(machineName).any { !it.isGang || it.cancelled || it.id in context.view.halting }
 }
--- a/src/main/kotlin/flaxfield/gangs/GangReservations.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangReservations.kt
@@ -18,7 +18,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Machines reserved for gangs: first written to the machines' records, then, once their owners have made room, either
+ * Machines reserved for gangs: first written to the machines' records, then, once their owners have evicted, either
  * committed as the gang's placement or released. One transaction each; a gang is placed whole or not at all.
  */
 class GangReservations(
--- a/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
@@ -11,7 +11,7 @@
 import flaxfield.quota.JobOrder
 import flaxfield.quota.TeamUsage
 
-/** A machine with what its owner's shard summary tells of it. */
+/** A machine with its status from its owner's shard summary. */
 data class ObservedMachine(val machine: Machine, val status: MachineStatus)
 
 /** What decides whose tasks a gang may preempt: gangs of one scope see the same machines after eviction. */
--- a/src/main/kotlin/flaxfield/quota/DominantShare.kt
+++ b/src/main/kotlin/flaxfield/quota/DominantShare.kt
@@ -2,7 +2,7 @@
 
 import flaxfield.settings.Team
 
-/** Pure: dominant-resource fairness, an amount's share of a guarantee by the resource of which it is the larger part. */
+/** Pure: dominant-resource fairness, by the resource of which an amount is the larger share of a guarantee. */
 object DominantShare {
     /**
      * The share that [cpus] and [gpus] are of the guarantee of [team]. A resource that is not guaranteed does not
--- a/src/test/kotlin/flaxfield/arrays/EvictionOrderTest.kt
+++ b/src/test/kotlin/flaxfield/arrays/EvictionOrderTest.kt
@@ -19,7 +19,7 @@
     }
 
     @Test
-    fun `the least urgent makes way first, then what saves, then the latest`() {
+    fun `the lowest priority is evicted first, then what has checkpoints, then the latest`() {
         val tasks = listOf(
             task("job-1", 10, saves = true, priority = Priority.STANDARD),
             task("job-2", 40, saves = false),
--- a/src/test/kotlin/flaxfield/arrays/ShardSummaryTest.kt
+++ b/src/test/kotlin/flaxfield/arrays/ShardSummaryTest.kt
@@ -8,8 +8,8 @@
 
 class ShardSummaryTest {
     @Test
-    fun `a part's summary is dealt into pages that each fit a value`() {
-        // One value for the whole part was refused as too large: the leader then knew of no room at all.
+    fun `a shard's summary is dealt into pages that each fit a value`() {
+        // One value for the whole shard would be refused as too large.
         for (machines in listOf(1, 40, 240, 714, 3000)) {
             for (valueKb in listOf(4.0, 16.0, 32.0)) {
                 val pages = ShardSummaryPages.count(machines, valueKb, 1)
@@ -17,8 +17,8 @@
                     "host-%06d".format(it * 3)
                 }.groupBy { ShardSummaryPages.pageOf(it, pages) }
                 val images = ShardSummaryPages.imagesThatFit((0 until 40).map { "bundle-%04d".format(it) })
-                val room = MachineStatus(MachineHealth.NOTICE, 99uL, "10.123.123.123:65000", images)
-                val largest = rows.values.maxBy { it.size }.associateWith { room }
+                val status = MachineStatus(MachineHealth.NOTICE, 99uL, "10.123.123.123:65000", images)
+                val largest = rows.values.maxBy { it.size }.associateWith { status }
                 val size = TransactionSize.json(ShardSummaryCodec.encode(ShardSummary(ULong.MAX_VALUE, largest)))
                 assertTrue(size <= valueKb * 1024, "$machines machines, $valueKb KiB, $pages pages: $size")
                 assertEquals(pages, ShardSummaryPages.count(machines, valueKb, pages))
@@ -34,12 +34,12 @@
 
     @Test
     fun `summaries survive the store`() {
-        val s = ShardSummary(
+        val summary = ShardSummary(
             ULong.MAX_VALUE,
             mapOf(
                 "h" to MachineStatus(MachineHealth.NOTICE, 3uL, "10.0.0.1:1", listOf("x", "y")),
             ),
         )
-        assertEquals(s, ShardSummaryCodec.decode(Cbor.decode(Cbor.encode(ShardSummaryCodec.encode(s)))))
+        assertEquals(summary, ShardSummaryCodec.decode(Cbor.decode(Cbor.encode(ShardSummaryCodec.encode(summary)))))
     }
 }
--- a/src/test/kotlin/flaxfield/arrays/ShortTaskPolicyTest.kt
+++ b/src/test/kotlin/flaxfield/arrays/ShortTaskPolicyTest.kt
@@ -7,7 +7,6 @@
 class ShortTaskPolicyTest {
     @Test
     fun `tasks much shorter than a boot take turns, others do not`() {
-        // 25,000 tasks of 4 s took all free room at once, and rented as many machines again, to end moments later.
         fun spec(taskCount: Int, expectedRuntimeS: Double) =
             Samples.spec(taskCount = taskCount).copy(expectedRuntimeS = expectedRuntimeS)
         assertEquals(
--- a/src/test/kotlin/flaxfield/quota/QuotaTest.kt
+++ b/src/test/kotlin/flaxfield/quota/JobOrderTest.kt
@@ -4,11 +4,10 @@
 import flaxfield.Samples.on
 import flaxfield.jobs.Job
 import flaxfield.jobs.Priority
-import flaxfield.jobs.Resources
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 
-class QuotaTest {
+class JobOrderTest {
     private val teams = listOf(Samples.team("red", gpus = 2.0, gpusMax = 4.0), Samples.team("blue")).associateBy {
         it.name
     }
@@ -22,7 +21,7 @@
     ): Job = Samples.job(Samples.spec(id = id, team = team, taskCount = taskCount, priority = priority), atMs = at)
 
     @Test
-    fun `a job that waits too long to begin comes before every order`() {
+    fun `an overdue job precedes every order`() {
         // Neither a guarantee, nor priority, nor a team's share may starve a job for ever.
         val old = Samples.job(Samples.spec(id = "job-9", priority = Priority.IDLE), atMs = 1)
         val urgent = Samples.job(Samples.spec(id = "job-1", priority = Priority.PROD), atMs = 500)
@@ -33,16 +32,6 @@
         assertEquals(listOf("job-1", "job-9"), order(2, listOf(old.on(0 to "h"), urgent)), "it has begun")
     }
 
-    @Test
-    fun `a record counts against the limit until proof that its task has left`() {
-        val three = job("job-1", taskCount = 4).on(0 to "h", 1 to "h", 2 to "h")
-        val use = TeamUsage(listOf(three.stop(listOf(0))), teams)
-        assertEquals(1, use.remainingTasks("red", three.spec.taskResources))
-        assertEquals(0, use.remainingTasks("red", three.spec.taskResources, kept = Resources(0.0, 1.0, 0.0)))
-        assertEquals(Int.MAX_VALUE, use.remainingTasks("blue", three.spec.taskResources))
-        assertEquals(0, use.remainingTasks("nobody", three.spec.taskResources))
-    }
-
     @Test
     fun `guaranteed are the earliest unfinished jobs that fit together`() {
         val jobs =
@@ -71,15 +60,14 @@
     }
 
     @Test
-    fun `a class without an aim comes after those with one, and mistakes after all`() {
-        // A guest team uses little: its idle work, of which nothing is expected, went before everyone else's by its
-        // share.
+    fun `a class without an objective comes after those with one, and failing jobs after all`() {
+        // A team that uses little has the smallest share; without this its idle work would precede everyone else's.
         fun of(id: String, jobClass: String, at: Long) =
             job(id, "blue", at = at).let { it.copy(spec = it.spec.copy(jobClass = jobClass)) }
-        val mistake = of("job-4", "score", 0).copy(failedMachines = listOf("g", "h"), failureCount = 2, retryAtMs = 5)
+        val failing = of("job-4", "score", 0).copy(failedMachines = listOf("g", "h"), failureCount = 2, retryAtMs = 5)
         val jobs =
             listOf(
-                mistake,
+                failing,
                 of("job-3", "idle", 0),
                 of("job-2", "score", 1),
                 job("job-1", "red", at = 2, priority = Priority.HIGH),
@@ -89,7 +77,7 @@
             listOf("job-1", "job-2", "job-3", "job-4"),
             JobOrder.sort(jobs, emptySet(), use) { it == "score" || it == "class" }.map { it.id },
         )
-        // Late is late for all, but for what seems to be a mistake.
+        // An overdue job comes first whatever its class, unless it repeatedly fails.
         assertEquals("job-3", JobOrder.sort(jobs, emptySet(), use, overdueBeforeMs = 1) { it == "score" }.first().id)
     }
 
