--- a/src/main/kotlin/flaxfield/jobs/Job.kt
+++ b/src/main/kotlin/flaxfield/jobs/Job.kt
@@ -49,10 +49,13 @@
     /** Where the task at [index] is placed; null if it is not. */
     fun placed(index: Int): Placement? = chunks[index / chunkTasks]?.placed?.get(index)
 
+    /** Whether the task at [index] has completed. */
     fun isDone(index: Int): Boolean = chunks[index / chunkTasks]?.done?.get(index) ?: false
 
+    /** Whether the task at [index] was lost and is not known to run again. */
     fun isInterrupted(index: Int): Boolean = chunks[index / chunkTasks]?.interrupted?.contains(index) ?: false
 
+    /** Where all placed tasks are, chunk by chunk. */
     fun allPlaced(): Sequence<Placement> = chunks.values.asSequence().flatMap { it.placed.values.asSequence() }
 
     /**
--- a/src/main/kotlin/flaxfield/jobs/JobReader.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobReader.kt
@@ -15,9 +15,6 @@
     /** The finished job with this [id], if this process remembers it. */
     fun rememberedAsFinished(id: String): FinishedJob? = finishedJobs.find(id)
 
-    /** Whether the state service has not responded for a while. */
-    fun storeSeemsSilent(): Boolean = currentJobs.storeSeemsSilent()
-
     /** Runs [then] with the job as of now, or null if there is no live one. */
     fun readCurrent(id: String, responder: Responder, then: (Job?) -> Unit) = currentJobs.read(id) { result ->
         when (result) {
--- a/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -48,7 +48,9 @@
         }
         val rejection = JobAdmission.rejectionReason(spec, context.settings.teams, context.view.machineTypes)
         if (rejection != null) return reject(spec, rejection, responder)
-        if (reader.storeSeemsSilent()) return responder.send(JobResponse.Unavailable(STORE_SILENT))
+        if (context.storeContact.isSilent(context.settings.workers.leaseS)) {
+            return responder.send(JobResponse.Unavailable(STORE_SILENT))
+        }
         accept(newJob(spec), responder, mayBegin = true)
     }
 
--- a/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
+++ b/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
@@ -42,16 +42,14 @@
 
     /** Reads the job with this [id]; [done] is called once, possibly at once. */
     fun read(id: String, done: (JobReadResult) -> Unit) {
-        if (storeSeemsSilent()) return done(JobReadResult.Unavailable(STORE_SILENT))
+        if (context.storeContact.isSilent(context.settings.workers.leaseS)) {
+            return done(JobReadResult.Unavailable(STORE_SILENT))
+        }
         if (waiters.size >= MAX_WAITERS) return done(JobReadResult.Unavailable("too many requests"))
         waiters += Waiter(id, context.nowNs, done)
         readRevision()
     }
 
-    /** Whether the state service has not responded for a while; renewals of our own lease make it respond often. */
-    fun storeSeemsSilent(): Boolean =
-        context.storeContact.silenceNs() > context.settings.workers.leaseS * STORE_SILENCE_SHARE * NANOS_PER_SECOND
-
     private fun readRevision() {
         val now = context.nowNs
         if (isReadingRevision || now < nextReadNs || waiters.none { it.requiredRevision == null }) return
@@ -113,8 +111,5 @@
         /** The share of this process's part of the state service's rate. */
         const val READ_SHARE = 0.15
         const val READ_GAP_DECISIONS = 2
-
-        /** The state service counts as silent after this share of a worker's lease without a response. */
-        const val STORE_SILENCE_SHARE = 0.25
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/Resources.kt
+++ b/src/main/kotlin/flaxfield/jobs/Resources.kt
@@ -2,10 +2,13 @@
 
 /** What one task requests of its machine, or what a machine has; [ram] is in GB. */
 data class Resources(val cpus: Double, val gpus: Double, val ram: Double) {
+    /** The sum, amount by amount. */
     operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, ram + other.ram)
 
+    /** The difference, amount by amount. */
     operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, ram - other.ram)
 
+    /** What [count] tasks of this size request together. */
     operator fun times(count: Int) = Resources(cpus * count, gpus * count, ram * count)
 
     /** Whether a task that requests [taskResources] fits. */
--- a/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
@@ -39,24 +39,37 @@
             context.view.jobs.values.any { !it.cancelled && it.pendingCount > 0 }
         }
         for (id in commitOrder()) {
-            val jobEvents = pending[id] ?: continue
-            val job = dropOutdated(id, jobEvents) ?: continue
-            // Asked at the commit, not when they come: a controller inside a lost zone may learn of the loss only
-            // after the heartbeats of its return.
-            val events = jobEvents.byAttempt.values.filterNot { context.zones?.mustDefer(it) ?: false }
-            if (events.isEmpty()) continue
-            val urgent = isUrgent(job, events)
-            if (!urgent && !hasGathered(jobEvents) { someTaskIsPending }) continue
+            val ready = readyEvents(id) { someTaskIsPending } ?: continue
             // If not even the most urgent write is allowed, the rest waits as well.
             if (!context.transactions.mayWrite(WriteCause.FINISH, 1)) break
-            val cause = writeCause(job, events, urgent)
-            if (context.transactions.mayWrite(cause, 1) && commit(job, events, term, cause)) {
-                jobEvents.sinceNs = context.nowNs
-            }
+            if (commit(ready, term)) ready.pending.sinceNs = context.nowNs
         }
         if (context.leadership.isLeader()) sweeper.run()
     }
 
+    /** The part of a job's [pending] events that may be committed now. */
+    private class ReadyEvents(
+        val job: Job,
+        val pending: PendingEvents,
+        val events: List<TaskEvent>,
+        val urgent: Boolean,
+    )
+
+    private fun readyEvents(id: String, someTaskIsPending: () -> Boolean): ReadyEvents? {
+        val jobEvents = pending[id] ?: return null
+        val job = dropOutdated(id, jobEvents) ?: return null
+        // Asked at the commit, not when they come: a controller inside a lost zone may learn of the loss only after
+        // the heartbeats of its return.
+        val events = jobEvents.byAttempt.values.filterNot { context.zones?.mustDefer(it) ?: false }
+        if (events.isEmpty()) return null
+        val urgent = isUrgent(job, events)
+        return if (urgent || hasGathered(jobEvents, someTaskIsPending)) {
+            ReadyEvents(job, jobEvents, events, urgent)
+        } else {
+            null
+        }
+    }
+
     /** Drops events whose attempt is not recorded any more; null if none are left. */
     private fun dropOutdated(id: String, jobEvents: PendingEvents): Job? {
         val job = context.view.jobs[id]
@@ -106,13 +119,16 @@
         return context.nowNs >= dueNs
     }
 
-    private fun commit(job: Job, all: List<TaskEvent>, term: ULong, cause: WriteCause): Boolean {
+    private fun commit(ready: ReadyEvents, term: ULong): Boolean {
+        val job = ready.job
+        val cause = writeCause(job, ready.events, ready.urgent)
+        if (!context.transactions.mayWrite(cause, 1)) return false
         // As many chunks as one transaction holds; the others follow in the next.
-        val chunks = all.mapTo(LinkedHashSet()) { it.index / job.chunkTasks }
+        val chunks = ready.events.mapTo(LinkedHashSet()) { it.index / job.chunkTasks }
             .take(JobTransactions.maxChunks(context.settings.stateLimits))
             .toSet()
         if ((chunks + 0).any { context.transactions.isWritePending(StoreKeys.chunk(job.id, it)) }) return false
-        val events = all.filter { it.index / job.chunkTasks in chunks }
+        val events = ready.events.filter { it.index / job.chunkTasks in chunks }
         val backoffMs = context.settings.workers.heartbeatIntervalS * BACKOFF_HEARTBEATS * MILLIS_PER_SECOND
         val tracksLosses = context.subsystem != null
         val next = TaskEventRules.apply(job, events, context.nowMs, backoffMs.toLong(), tracksLosses)
--- a/src/main/kotlin/flaxfield/workers/DirectCommandSender.kt
+++ b/src/main/kotlin/flaxfield/workers/DirectCommandSender.kt
@@ -26,7 +26,7 @@
         if (inFlight >= maxInFlight) return false
         val parsed = try {
             Address.parse(address)
-        } catch (e: MalformedException) {
+        } catch (ignored: MalformedException) {
             // The worker reports its address itself: an invalid one means only that nothing can be sent there.
             return false
         }
--- a/src/main/kotlin/flaxfield/workers/HeartbeatCodec.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatCodec.kt
@@ -32,17 +32,25 @@
     fun decode(body: ByteArray): Heartbeat = Cbor.read(body, ::heartbeat)
 
     private fun heartbeat(map: MapReader): Heartbeat {
-        var machineName: String? = null
-        var address: String? = null
-        var machineType: String? = null
-        var zone: String? = null
-        var preemptible: Boolean? = null
-        var incarnation: ULong? = null
-        var sequenceNumber: ULong? = null
-        var fencingToken: ULong? = null
-        var terminationNoticeS: Double? = null
-        val tasks = ArrayList<TaskStatus>()
-        map.forEachField { name ->
+        val fields = HeartbeatFields()
+        map.forEachField { name -> fields.read(name, map) }
+        return fields.build()
+    }
+
+    /** The fields of a heartbeat as they are read; a later one of the same name replaces an earlier one. */
+    private class HeartbeatFields {
+        private var machineName: String? = null
+        private var address: String? = null
+        private var machineType: String? = null
+        private var zone: String? = null
+        private var preemptible: Boolean? = null
+        private var incarnation: ULong? = null
+        private var sequenceNumber: ULong? = null
+        private var fencingToken: ULong? = null
+        private var terminationNoticeS: Double? = null
+        private val tasks = ArrayList<TaskStatus>()
+
+        fun read(name: String, map: MapReader) {
             when (name) {
                 "host" -> machineName = map.text()
                 "address" -> address = map.text()
@@ -56,7 +64,8 @@
                 "shards" -> map.forEachMap { tasks += task(map) }
             }
         }
-        return Heartbeat(
+
+        fun build() = Heartbeat(
             machineName = machineName ?: missing("host"),
             address = address ?: missing("address"),
             machineType = machineType ?: missing("flavor"),
@@ -74,20 +83,20 @@
         var name: String? = null
         var attempt: ULong? = null
         var phase: String? = null
-        var why: String? = null
+        var causeName: String? = null
         map.forEachField { field ->
             when (field) {
                 "shard" -> name = map.text()
                 "try" -> attempt = map.count()
                 "phase" -> phase = map.text()
-                "cause" -> why = map.text()
+                "cause" -> causeName = map.text()
             }
         }
         val (job, index) = JobCodec.parseTaskId(name ?: missing("shard"))
             ?: throw MalformedException("shard is invalid")
         val state = states[phase] ?: throw MalformedException("phase is invalid")
-        // A cause we do not know is an end all the same: the task is taken as failed on its machine.
-        val cause = if (state == TaskState.ENDED) causes[why] ?: EndCause.ERROR else null
+        // An unknown cause is an end all the same: the task is taken as failed on its machine.
+        val cause = if (state == TaskState.ENDED) causes[causeName] ?: EndCause.ERROR else null
         return TaskStatus(job, index, attempt ?: missing("try"), state, cause)
     }
 
--- a/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
@@ -1,6 +1,5 @@
 package flaxfield.workers
 
-import flaxfield.NANOS_PER_SECOND
 import flaxfield.codec.MalformedException
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.TaskEventCommitter
@@ -50,7 +49,7 @@
     fun forwardedHeartbeat(body: ByteArray, responder: Responder) {
         val heartbeat = try {
             HeartbeatCodec.decode(body)
-        } catch (e: MalformedException) {
+        } catch (ignored: MalformedException) {
             return responses.malformed("malformed", responder)
         }
         val term = context.leadership.term()
@@ -67,7 +66,8 @@
      */
     private fun answerWithoutTerm(heartbeat: Heartbeat, responder: Responder) {
         val viewIsBehind = context.view.assignment?.let { heartbeat.fencingToken > it.term } ?: false
-        if (!viewIsBehind && (storeIsSilent() || leaderIsGone()) && responses.mayRenew()) {
+        val storeIsSilent = context.storeContact.isSilent(context.settings.workers.leaseS)
+        if (!viewIsBehind && (storeIsSilent || leaderIsGone()) && responses.mayRenew()) {
             return responses.renewWithoutDecision(heartbeat, heartbeat.fencingToken, responder)
         }
         val owner = context.shards.owner(heartbeat.machineName, heartbeat.zone)
@@ -83,12 +83,4 @@
         val assignment = context.view.assignment ?: return false
         return !assignment.leader.isSameProcess(context.view.leader)
     }
-
-    private fun storeIsSilent() =
-        context.storeContact.silenceNs() > context.settings.workers.leaseS * STORE_SILENCE_SHARE * NANOS_PER_SECOND
-
-    private companion object {
-        /** The state service counts as silent after this share of a worker's lease without a response. */
-        const val STORE_SILENCE_SHARE = 0.25
-    }
 }
--- a/src/main/kotlin/flaxfield/workers/OwnedHeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/OwnedHeartbeatHandler.kt
@@ -98,8 +98,7 @@
     private fun recordImages(heartbeat: Heartbeat, workerState: WorkerState) {
         val cacheGb = context.view.machineTypes[heartbeat.machineType]?.cacheGb ?: return
         for (task in heartbeat.tasks) {
-            if (task.state == TaskState.PULLING) continue
-            if (task.state == TaskState.ENDED && task.cause != EndCause.DONE) continue
+            if (!hasPulledImage(task)) continue
             val spec = context.view.jobs[task.job]?.spec ?: continue
             val isNew = spec.image !in workerState.images
             workerState.recordImage(spec.image, spec.imageGb, cacheGb)
@@ -107,6 +106,12 @@
         }
     }
 
+    private fun hasPulledImage(task: TaskStatus): Boolean = when (task.state) {
+        TaskState.PULLING -> false
+        TaskState.ENDED -> task.cause == EndCause.DONE
+        TaskState.GATHERING, TaskState.RUNNING, TaskState.SAVING -> true
+    }
+
     private fun logStateChanges(previous: Heartbeat?, current: Heartbeat) {
         for (task in current.tasks) {
             val before = previous?.tasks?.firstOrNull {
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -95,12 +95,8 @@
         val heartbeat = workerState?.heartbeat
         return when {
             workerState?.faultReason != null -> MachineHealth.FAULTY
-            heartbeat == null || workerState.lastHeartbeatNs == 0L || workerState.lastHeartbeatNs < ownerSinceNs -> {
-                // A machine that just booted has reported, but not yet under our term.
-                val sinceNs = maxOf(ownerSinceNs, workerState?.firstHeartbeatNs ?: 0L)
-                val silent = isSilent(machineName, sinceNs) && isExpectedToReport(machineName)
-                if (silent) MachineHealth.SILENT else MachineHealth.UNSEEN
-            }
+            heartbeat == null || workerState.lastHeartbeatNs == 0L || workerState.lastHeartbeatNs < ownerSinceNs ->
+                healthWithoutSignOfLife(machineName, workerState)
             isSilent(machineName, workerState.lastHeartbeatNs) -> MachineHealth.SILENT
             heartbeat.terminationNoticeS != null -> MachineHealth.NOTICE
             else -> when (faults.judgeFailures(workerState)) {
@@ -111,6 +107,13 @@
         }
     }
 
+    private fun healthWithoutSignOfLife(machineName: String, workerState: WorkerState?): MachineHealth {
+        // A machine that just booted has reported, but not yet under our term.
+        val sinceNs = maxOf(ownerSinceNs, workerState?.firstHeartbeatNs ?: 0L)
+        val silent = isSilent(machineName, sinceNs) && isExpectedToReport(machineName)
+        return if (silent) MachineHealth.SILENT else MachineHealth.UNSEEN
+    }
+
     /** It has reported before, to us or to an earlier owner, or has tasks: only then does its silence mean anything. */
     private fun isExpectedToReport(machineName: String): Boolean = workerStates[machineName]?.heartbeat != null ||
         !context.view.isEmpty(machineName) ||
