--- a/src/main/kotlin/flaxfield/jobs/JobCanceller.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobCanceller.kt
@@ -55,7 +55,7 @@
                 }
                 is TransactionOutcome.Conflict -> retry(job.id, responder, tries)
                 is TransactionOutcome.Refused, is TransactionOutcome.Unknown ->
-                    responder.send(JobResponse.Unavailable("the state service does not answer"))
+                    responder.send(JobResponse.Unavailable(STORE_SILENT))
             }
         }
         if (!sent) responder.send(JobResponse.Unavailable("too many requests"))
--- a/src/main/kotlin/flaxfield/jobs/JobResponse.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobResponse.kt
@@ -34,6 +34,9 @@
     data class Unavailable(val reason: String) : JobResponse
 }
 
+/** The reason of an unavailable response while the state service does not respond. */
+internal const val STORE_SILENT = "the state service does not answer"
+
 private const val STATUS_OK = 200
 private const val STATUS_CREATED = 201
 private const val STATUS_BAD_REQUEST = 400
--- a/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -137,7 +137,6 @@
 
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.jobs")
-        const val STORE_SILENT = "the state service does not answer"
 
         /** The share of a value that the job as submitted may take. */
         const val SPEC_SHARE = 0.3
--- a/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
+++ b/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
@@ -102,7 +102,6 @@
     }
 
     private companion object {
-        const val STORE_SILENT = "the state service does not answer"
         const val MAX_WAITERS = 512
 
         /** Users wait 2 s for the response to a poll. */
