--- a/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -48,7 +48,9 @@
         }
         val rejection = JobAdmission.rejectionReason(spec, context.settings.teams, context.view.machineTypes)
         if (rejection != null) return reject(spec, rejection, responder)
-        if (reader.storeSeemsSilent()) return responder.send(JobResponse.Unavailable(STORE_SILENT))
+        if (context.storeContact.isSilent(context.settings.workers.leaseS)) {
+            return responder.send(JobResponse.Unavailable(STORE_SILENT))
+        }
         accept(newJob(spec), responder, mayBegin = true)
     }
 
@@ -135,7 +137,6 @@
 
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.jobs")
-        const val STORE_SILENT = "the state service does not answer"
 
         /** The share of a value that the job as submitted may take. */
         const val SPEC_SHARE = 0.3
