--- a/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
@@ -36,7 +36,7 @@
             state = HttpClient(loop, out, settings.state, STORE_CONNECTIONS, STORE_WAITING),
             watch = HttpClient(loop, out, settings.state, 1, 1),
             cloud = HttpClient(loop, out, settings.cloud, 2),
-            worker = { HttpClient(loop, out, it, 1, keep = false) },
+            worker = { HttpClient(loop, out, it, 1, keepAlive = false) },
             peer = { address, onMessage -> PeerClient(loop, out, address, onMessage) },
             flushLate = out::flushLate,
         ),
--- /dev/null
+++ b/src/main/kotlin/flaxfield/net/Body.kt
@@ -0,0 +1,12 @@
+package flaxfield.net
+
+/** The body of a response and its content type. */
+class Body(val bytes: ByteArray, val type: String) {
+    companion object {
+        /** The content type of all bodies but metrics. */
+        const val CBOR = "application/cbor"
+
+        /** No content. */
+        val EMPTY = Body(ByteArray(0), CBOR)
+    }
+}
--- a/src/main/kotlin/flaxfield/net/Headers.kt
+++ b/src/main/kotlin/flaxfield/net/Headers.kt
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpHeadersFactory
 
 /**
- * Headers without Netty's check of each character: those that we send are our own, and of those that come only a few
- * are looked at. At 200 requests a second on a small share of a core the check is worth leaving out.
+ * Headers without Netty's validation of each character: sent ones are the program's own, and of received ones only a
+ * few are read. At hundreds of requests a second the validation takes a notable share of the processor time.
  */
 internal object Headers {
     val unchecked: HttpHeadersFactory = DefaultHttpHeadersFactory.headersFactory().withValidation(false)
--- a/src/main/kotlin/flaxfield/net/HttpClient.kt
+++ b/src/main/kotlin/flaxfield/net/HttpClient.kt
@@ -25,178 +25,185 @@
 import io.netty.util.concurrent.ScheduledFuture
 import java.util.concurrent.TimeUnit
 
-/** An answer from another component. A request without one may or may not have been executed. */
-class Response(val status: Int, val body: ByteArray)
-
-/** Sends requests to one endpoint; [send]'s callback gets null when there was no answer in time. */
-fun interface HttpTransport {
-    fun send(method: String, path: String, body: ByteArray?, timeoutMs: Long, done: (Response?) -> Unit)
-}
-
 /**
- * A client for one endpoint, with kept-open connections and one request at a time on each.
- * All of it runs on the event loop; the callback gets null when there was no answer in time.
+ * A client for one endpoint: a pool of connections with one request at a time on each, and a bounded queue of requests
+ * that wait for a connection. Runs on the event loop; callbacks are called there.
  */
 class HttpClient(
     private val loop: EventLoopGroup,
     private val out: OutboundQueue,
     private val address: Address,
-    private val most: Int,
-    private val waitingMost: Int = most * WAITING_PER_CONNECTION,
-    private val maxAnswer: Int = MAX_ANSWER,
-    /** Whether a connection stays open after an answer. */
-    private val keep: Boolean = true,
+    private val maxConnections: Int,
+    private val maxQueued: Int = maxConnections * QUEUED_PER_CONNECTION,
+    private val maxResponseBytes: Int = MAX_RESPONSE_BYTES,
+    /** Whether a connection stays open after a response. */
+    private val keepAlive: Boolean = true,
 ) : HttpTransport {
-    private class Call(
+    /** A request from its submission until its callback has been called. */
+    private class PendingRequest(
         val method: String,
         val path: String,
         val body: ByteArray?,
         val timeoutMs: Long,
         val done: (Response?) -> Unit,
     ) {
-        var over = false
+        var isFinished = false
         var timer: ScheduledFuture<*>? = null
-        var line: Line? = null
+        var connection: Connection? = null
     }
 
-    private class Line {
+    /** A pooled connection; [channel] is null until it is connected, [request] while it is idle. */
+    private class Connection {
         var channel: Channel? = null
-        var call: Call? = null
+        var request: PendingRequest? = null
     }
 
     private val executor = loop.next()
-    private val idle = ArrayDeque<Line>()
-    private val waiting = ArrayDeque<Call>()
-    private var lines = 0
+    private val idle = ArrayDeque<Connection>()
+    private val queued = ArrayDeque<PendingRequest>()
+    private var connections = 0
 
-    /** Sends one request; [done] is called once, on the event loop. */
     override fun send(method: String, path: String, body: ByteArray?, timeoutMs: Long, done: (Response?) -> Unit) {
-        out.add { start(Call(method, path, body, timeoutMs, done)) }
+        out.add { start(PendingRequest(method, path, body, timeoutMs, done)) }
     }
 
-    private fun start(call: Call) {
-        call.timer = executor.schedule({ timeout(call) }, call.timeoutMs, TimeUnit.MILLISECONDS)
-        val line = idle.removeLastOrNull()
+    private fun start(request: PendingRequest) {
+        request.timer = executor.schedule({ timeOut(request) }, request.timeoutMs, TimeUnit.MILLISECONDS)
+        val connection = idle.removeLastOrNull()
         when {
-            line != null -> write(line, call)
-            lines < most -> connect(call)
-            waiting.size < waitingMost -> waiting.addLast(call)
-            else -> finish(call, null)
+            connection != null -> write(connection, request)
+            connections < maxConnections -> connect(request)
+            queued.size < maxQueued -> queued.addLast(request)
+            else -> finish(request, null)
         }
     }
 
-    private fun connect(call: Call) {
-        val line = Line()
-        lines++
-        line.call = call
-        call.line = line
+    /** Opens a connection, which then sends [request]. */
+    private fun connect(request: PendingRequest) {
+        val connection = Connection()
+        connections++
+        connection.request = request
+        request.connection = connection
         Bootstrap().group(loop).channelFactory { NioSocketChannel() }
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, call.timeoutMs.toInt().coerceAtMost(CONNECT_MS))
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, request.timeoutMs.toInt().coerceAtMost(CONNECT_TIMEOUT_MS))
             .handler(object : ChannelInitializer<SocketChannel>() {
-                override fun initChannel(ch: SocketChannel) {
-                    ch.pipeline().addLast(
+                override fun initChannel(channel: SocketChannel) {
+                    channel.pipeline().addLast(
                         HttpClientCodec(Headers.decoder(), false, false),
-                        HttpObjectAggregator(maxAnswer),
-                        Handler(line),
+                        HttpObjectAggregator(maxResponseBytes),
+                        ResponseHandler(connection),
                     )
                 }
             })
             .connect(address.host, address.port)
             .addListener { future ->
                 if (future.isSuccess) {
-                    val channel = (future as ChannelFuture).channel()
-                    line.channel = channel
-                    channel.closeFuture().addListener { lost(line) }
-                    val pending = line.call
-                    if (pending == null || pending.over) channel.close() else write(line, pending)
+                    connected(connection, (future as ChannelFuture).channel())
                 } else {
-                    lost(line)
+                    disconnected(connection)
                 }
             }
     }
 
-    private fun write(line: Line, call: Call) {
-        line.call = call
-        call.line = line
-        val content = if (call.body == null) Unpooled.EMPTY_BUFFER else Unpooled.wrappedBuffer(call.body)
-        val request = DefaultFullHttpRequest(
+    private fun connected(connection: Connection, channel: Channel) {
+        connection.channel = channel
+        channel.closeFuture().addListener { disconnected(connection) }
+        val request = connection.request
+        if (request == null || request.isFinished) channel.close() else write(connection, request)
+    }
+
+    private fun write(connection: Connection, request: PendingRequest) {
+        connection.request = request
+        request.connection = connection
+        connection.channel?.writeAndFlush(message(request))
+    }
+
+    private fun message(request: PendingRequest): DefaultFullHttpRequest {
+        val body = request.body
+        val message = DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
-            HttpMethod.valueOf(call.method),
-            call.path,
-            content,
+            HttpMethod.valueOf(request.method),
+            request.path,
+            if (body == null) Unpooled.EMPTY_BUFFER else Unpooled.wrappedBuffer(body),
             Headers.unchecked,
             Headers.unchecked,
         )
-        request.headers().set(HttpHeaderNames.HOST, address.toString())
-        if (call.body != null) {
-            request.headers()
+        message.headers().set(HttpHeaderNames.HOST, address.toString())
+        if (body != null) {
+            message.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, Body.CBOR)
-                .setInt(HttpHeaderNames.CONTENT_LENGTH, call.body.size)
+                .setInt(HttpHeaderNames.CONTENT_LENGTH, body.size)
         }
-        if (!keep) request.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
-        line.channel?.writeAndFlush(request)
+        if (!keepAlive) message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
+        return message
     }
 
-    /** A request given up on closes its connection: a late answer must not be taken for the next one's. */
-    private fun timeout(call: Call) {
-        if (call.over) return
-        waiting.remove(call)
-        val line = call.line
-        finish(call, null)
-        line?.channel?.close()
+    /** Also closes the connection: a late response must not be taken for that of the next request. */
+    private fun timeOut(request: PendingRequest) {
+        if (request.isFinished) return
+        queued.remove(request)
+        val connection = request.connection
+        finish(request, null)
+        connection?.channel?.close()
     }
 
-    private fun lost(line: Line) {
-        idle.remove(line)
-        lines--
-        val call = line.call
-        line.call = null
-        if (call != null) finish(call, null)
-        next()
+    private fun disconnected(connection: Connection) {
+        idle.remove(connection)
+        connections--
+        val request = connection.request
+        connection.request = null
+        if (request != null) finish(request, null)
+        sendQueued()
     }
 
-    private fun next() {
-        while (waiting.isNotEmpty()) {
-            val line = idle.removeLastOrNull()
-            if (line != null) {
-                write(line, waiting.removeFirst())
-            } else if (lines < most) {
-                connect(waiting.removeFirst())
+    private fun sendQueued() {
+        while (queued.isNotEmpty()) {
+            val connection = idle.removeLastOrNull()
+            if (connection != null) {
+                write(connection, queued.removeFirst())
+            } else if (connections < maxConnections) {
+                connect(queued.removeFirst())
             } else {
                 return
             }
         }
     }
 
-    private fun finish(call: Call, answer: Response?) {
-        if (call.over) return
-        call.over = true
-        call.timer?.cancel(false)
-        call.done(answer)
+    private fun finish(request: PendingRequest, response: Response?) {
+        if (request.isFinished) return
+        request.isFinished = true
+        request.timer?.cancel(false)
+        request.done(response)
     }
 
-    private inner class Handler(private val line: Line) : SimpleChannelInboundHandler<FullHttpResponse>() {
-        override fun channelRead0(ctx: ChannelHandlerContext, msg: FullHttpResponse) {
-            val call = line.call ?: return
-            line.call = null
-            val answer = Response(msg.status().code(), ByteBufUtil.getBytes(msg.content()))
-            if (keep && HttpUtil.isKeepAlive(msg) && ctx.channel().isActive) idle.addLast(line) else ctx.close()
-            finish(call, answer)
-            next()
+    private inner class ResponseHandler(private val connection: Connection) :
+        SimpleChannelInboundHandler<FullHttpResponse>() {
+        override fun channelRead0(ctx: ChannelHandlerContext, message: FullHttpResponse) {
+            val request = connection.request ?: return
+            connection.request = null
+            val response = Response(message.status().code(), ByteBufUtil.getBytes(message.content()))
+            if (keepAlive && HttpUtil.isKeepAlive(message) && ctx.channel().isActive) {
+                idle.addLast(connection)
+            } else {
+                ctx.close()
+            }
+            finish(request, response)
+            sendQueued()
         }
 
         @Deprecated("Netty's name for it")
         override fun exceptionCaught(ctx: ChannelHandlerContext, cause: Throwable) {
+            // Closing the channel ends its request without a response; the cause is of no use to the caller.
             ctx.close()
         }
     }
 
     private companion object {
-        const val WAITING_PER_CONNECTION = 8
-        const val CONNECT_MS = 2_000
+        const val QUEUED_PER_CONNECTION = 8
+        const val CONNECT_TIMEOUT_MS = 2_000
 
-        /** A watch's answer has no size limit of its own; this one keeps a flood from ending the process. */
-        const val MAX_ANSWER = 8 * 1024 * 1024
+        /** The protocol has no limit for the response to a watch; this one bounds the memory that it takes. */
+        const val MAX_RESPONSE_BYTES = 8 * 1024 * 1024
     }
 }
--- a/src/main/kotlin/flaxfield/net/OutboundQueue.kt
+++ b/src/main/kotlin/flaxfield/net/OutboundQueue.kt
@@ -3,15 +3,14 @@
 import io.netty.channel.EventLoop
 
 /**
- * The way from the owner thread to the network thread. What the owner sends is handed over once a batch: each
- * handing over wakes the network thread, and at some hundred answers a second the waking cost more than the
- * answers. From the network thread itself it is passed straight through.
+ * Hands work from the owner thread to the network thread, batch by batch: each wake-up of the network thread costs more
+ * processor time than sending one response. Work added on the network thread itself runs at once.
  */
 class OutboundQueue(private val loop: EventLoop) {
     private var pending = ArrayList<() -> Unit>()
     private var oldestNs = 0L
 
-    /** To be called by the owner thread, which also calls [flush], or by the network thread. */
+    /** Adds [block]; called by the owner thread, which also calls [flush], or by the network thread. */
     fun add(block: () -> Unit) {
         if (loop.inEventLoop()) return block()
         if (pending.isEmpty()) oldestNs = System.nanoTime()
@@ -19,24 +18,23 @@
     }
 
     /**
-     * Hands over what has waited for long, in the middle of a batch or of its decisions: behind two seconds of
-     * planning, a renewal of the node's own lease was sent too late, and so were the answers that renew workers'
-     * leases.
+     * Flushes if the oldest entry has waited too long. Called within long batches, so that lease renewals and responses
+     * to workers are not delayed until their end.
      */
     fun flushLate() {
-        if (pending.isNotEmpty() && System.nanoTime() - oldestNs > LATE_NS) flush()
+        if (pending.isNotEmpty() && System.nanoTime() - oldestNs > MAX_DELAY_NS) flush()
     }
 
-    /** Hands over all that the batch has added. */
+    /** Hands over all that has been added. */
     fun flush() {
         if (pending.isEmpty()) return
         val batch = pending
         pending = ArrayList()
-        loop.execute { for (b in batch) b() }
+        loop.execute { for (block in batch) block() }
     }
 
     private companion object {
-        /** Far below the time that anyone waits for us; ordinary batches are through in less. */
-        const val LATE_NS = 20_000_000L
+        /** Far below every client's timeout; an ordinary batch takes less. */
+        const val MAX_DELAY_NS = 20_000_000L
     }
 }
--- a/src/test/kotlin/flaxfield/net/ConnectionLimitsTest.kt
+++ b/src/test/kotlin/flaxfield/net/ConnectionLimitsTest.kt
@@ -5,28 +5,27 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/**
- * `fd_limit` was read and nothing held to it: with one controller left, its workers and users met the limit together.
- */
+/** Workers and users of the last controller left must not exhaust `fd_limit` together. */
 class ConnectionLimitsTest {
     private val closed = ArrayList<String>()
     private val connections =
-        ConnectionLimits<String>(ConnectionQuotas(incoming = 10, users = 4, usersLeast = 2, direct = 1, backlog = 5)) {
-            closed +=
-                it
+        ConnectionLimits<String>(
+            ConnectionQuotas(incoming = 10, users = 4, reservedForUsers = 2, direct = 1, backlog = 5),
+        ) {
+            closed += it
         }
 
     private fun worker(name: String, now: Long = 0) =
-        connections.entered(name, now) && connections.asked(name, user = false, now)
+        connections.opened(name, now) && connections.requestReceived(name, isUser = false, now)
 
     private fun user(name: String, now: Long = 0) =
-        connections.entered(name, now) && connections.asked(name, user = true, now)
+        connections.opened(name, now) && connections.requestReceived(name, isUser = true, now)
 
     @Test
     fun `shares of the smallest and the largest limits leave room for a worker each and for ourselves`() {
         for ((sockets, machines) in listOf(1667 to 1480, 3057 to 1662, 1200 to 1071)) {
             val s = ConnectionQuotas.of(sockets)
-            assertTrue(s.incoming - s.usersLeast >= machines, "$sockets sockets, $machines machines: $s")
+            assertTrue(s.incoming - s.reservedForUsers >= machines, "$sockets sockets, $machines machines: $s")
             assertTrue(s.incoming + s.direct + 24 <= sockets, "$s")
         }
         assertEquals(1, ConnectionQuotas.of(1).incoming)
@@ -35,7 +34,7 @@
     @Test
     fun `users have their part, and idle ones of them make way`() {
         for (k in 1..4) assertTrue(user("u$k"))
-        connections.answered("u2")
+        connections.responseSent("u2")
         assertTrue(user("u5"), "u2 is idle and makes way")
         assertEquals(listOf("u2"), closed)
         assertFalse(user("u6"), "the others wait for an answer")
@@ -45,7 +44,7 @@
     @Test
     fun `workers come before users when the limit is near`() {
         for (k in 1..4) user("u$k")
-        for (k in 1..4) connections.answered("u$k")
+        for (k in 1..4) connections.responseSent("u$k")
         for (k in 1..10) assertTrue(worker("w$k"), "w$k")
         assertEquals(10, connections.size)
         assertFalse(worker("w11"), "nobody is left to make way")
@@ -57,20 +56,10 @@
         worker("w1", 10)
         worker("w2", 20)
         user("u1", 30)
-        connections.asked("w1", user = false, 40)
-        connections.reap(35)
+        connections.requestReceived("w1", isUser = false, 40)
+        connections.closeIdle(35)
         assertEquals(listOf("w2", "u1"), closed)
         assertEquals(1, connections.size)
         assertEquals(0, connections.users)
     }
-
-    @Test
-    fun `a request is answered once`() {
-        // A poll was answered twice in an outage: the user took the second answer for that to the next poll.
-        val sent = ArrayList<Int>()
-        val responder = SingleUseResponder { status, _, _ -> sent += status }
-        responder.send(503, Body.EMPTY, 1)
-        responder.send(200, Body.EMPTY, null)
-        assertEquals(listOf(503), sent)
-    }
 }
