--- a/src/main/kotlin/flaxfield/cli/OperatorJar.kt
+++ b/src/main/kotlin/flaxfield/cli/OperatorJar.kt
@@ -5,9 +5,9 @@
 import java.io.File
 import java.net.URLClassLoader
 
-/** What the operators' jar offers: all that only a fleet file or an operator's command needs. */
+/** The entry point of the operators' jar: everything that only a fleet file or an operator's command needs. */
 interface OperatorEntry {
-    /** Runs an operator's command; the process's exit code. */
+    /** Runs an operator's command, and returns the exit code of the process. */
     fun command(arguments: Array<String>): Int
 
     /** Runs a controller with the fleet file at [fleet] until the process ends. */
@@ -15,25 +15,25 @@
 }
 
 /**
- * The jar beside this program's own that holds the operators' parts and their libraries. It is not on the class path: a
- * start without a fleet file reads the directory of every jar there, and this one's is twice as long as its own.
+ * Loads the jar of the operators' classes and their libraries, which is in the same directory as the program's own. It
+ * is not on the class path, since each start reads the directory of every jar there, and this jar's is long.
  */
 object OperatorJar {
-    private const val FILE = "flaxfield-operator.jar"
-    private const val ENTRY = "flaxfield.operator.OperatorMain"
+    private const val FILE_NAME = "flaxfield-operator.jar"
+    private const val ENTRY_CLASS = "flaxfield.operator.OperatorMain"
 
-    /** The entry of the operators' jar, which is loaded by this. */
+    /** Loads the operators' jar and creates its entry point. */
     fun entry(): OperatorEntry {
         val loader = loader()
         Thread.currentThread().contextClassLoader = loader
-        return Class.forName(ENTRY, true, loader).getDeclaredConstructor().newInstance() as OperatorEntry
+        return Class.forName(ENTRY_CLASS, true, loader).getDeclaredConstructor().newInstance() as OperatorEntry
     }
 
-    /** From a directory of classes, as tests run, the parts are on the class path already. */
+    /** Where the program runs from a directory, as in tests, the operators' classes are on the class path. */
     private fun loader(): ClassLoader {
         val own = OperatorJar::class.java.classLoader
-        val place = File(OperatorJar::class.java.protectionDomain.codeSource.location.toURI())
-        if (!place.isFile) return own
-        return URLClassLoader(arrayOf(File(place.parentFile, FILE).toURI().toURL()), own)
+        val codeSource = File(OperatorJar::class.java.protectionDomain.codeSource.location.toURI())
+        if (!codeSource.isFile) return own
+        return URLClassLoader(arrayOf(File(codeSource.parentFile, FILE_NAME).toURI().toURL()), own)
     }
 }
--- a/src/test/kotlin/flaxfield/cli/ClassDataArchiveTest.kt
+++ b/src/test/kotlin/flaxfield/cli/ClassDataArchiveTest.kt
@@ -4,10 +4,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/**
- * A stale archive is passed over by the JVM without a word: a start then took 0.7 s of a core instead of 0.3, and
- * nobody knew why.
- */
+/** The JVM ignores a stale archive silently, and a start then takes 0.7 s of a core instead of 0.3. */
 class ClassDataArchiveTest {
     @ParameterizedTest
     @CsvSource(
