--- a/src/main/kotlin/flaxfield/client/Output.kt
+++ b/src/main/kotlin/flaxfield/client/Output.kt
@@ -11,6 +11,7 @@
 import flaxfield.operator.v1.DrainReply
 import flaxfield.operator.v1.FairShare
 import flaxfield.operator.v1.JobExplanation
+import flaxfield.operator.v1.Machine
 import flaxfield.operator.v1.Zone
 import flaxfield.operator.v1.ZoneReply
 import java.time.Instant
@@ -19,134 +20,135 @@
 import flaxfield.operator.v1.MachineList as Machines
 import flaxfield.operator.v1.ZoneList as Zones
 
-/** How answers are printed. */
+/** The formats in which answers are printed. */
 enum class OutputForm { TABLE, JSON }
 
 /**
- * Prints answers: as tables for people, or as the contract's JSON form, whose field names are those of
+ * Prints answers: as tables for people, or in the JSON form of the contract, whose field names are those of
  * `operator.proto`.
  */
 object Output {
+    private const val PERCENT = 100.0
     private val json = JsonFormat.printer().preservingProtoFieldNames().includingDefaultValueFields()
 
-    fun drains(reply: Drains, form: OutputForm) = print(reply, form) {
-        table(listOf("ID", "STATE", "TARGET", "CORDONED", "REMAINING", "DISRUPTED", "ORDERED")) {
-            for (d in reply.drainsList) row(*cells(d))
-        }
-        revision(reply.revision)
+    fun drains(reply: Drains, form: OutputForm) = print(reply, form, reply.revision) {
+        drains(reply.drainsList)
     }
 
-    fun drain(reply: DrainReply, form: OutputForm) = print(reply, form) {
-        table(listOf("ID", "STATE", "TARGET", "CORDONED", "REMAINING", "DISRUPTED", "ORDERED")) {
-            row(*cells(reply.drain))
-        }
+    fun drain(reply: DrainReply, form: OutputForm) = print(reply, form, reply.revision) {
+        drains(listOf(reply.drain))
         if (reply.drain.note.isNotEmpty()) println(reply.drain.note)
         if (reply.drain.waitsCount > 0) {
-            table(listOf("MACHINE", "WAITS FOR", "DETAIL")) {
-                for (w in reply.drain.waitsList) row(w.machine, w.reason, w.detail)
+            printTable("MACHINE", "WAITS FOR", "DETAIL") {
+                for (wait in reply.drain.waitsList) row(wait.machine, wait.reason, wait.detail)
             }
         }
-        revision(reply.revision)
     }
 
-    fun budgets(reply: Budgets, form: OutputForm) = print(reply, form) {
+    fun budgets(reply: Budgets, form: OutputForm) = print(reply, form, reply.revision) {
         budgets(reply.budgetsList)
-        revision(reply.revision)
     }
 
-    fun budget(reply: BudgetReply, form: OutputForm) = print(reply, form) {
+    fun budget(reply: BudgetReply, form: OutputForm) = print(reply, form, reply.revision) {
         budgets(listOf(reply.budget))
-        revision(reply.revision)
     }
 
-    fun machines(reply: Machines, form: OutputForm) = print(reply, form) {
-        table(listOf("MACHINE", "TYPE", "ZONE", "KIND", "PHASE", "HEALTH", "DRAIN", "TASKS", "TEAMS")) {
-            for (m in reply.machinesList) {
-                val kind = if (m.preemptible) "preemptible" else "on-demand"
-                row(
-                    m.name, m.machineType, m.zone, kind, m.phase, m.health, m.drain, m.tasks,
-                    m.teamsList.joinToString(
-                        " ",
-                    ),
-                )
-            }
-        }
-        revision(reply.revision)
+    fun machines(reply: Machines, form: OutputForm) = print(reply, form, reply.revision) {
+        machines(reply.machinesList)
     }
 
-    fun explanation(reply: JobExplanation, form: OutputForm) = print(reply, form) {
-        table(listOf("JOB", "TEAM", "STATE", "TASKS", "DONE", "PLACED", "REASON", "DETAIL")) {
+    fun explanation(reply: JobExplanation, form: OutputForm) = print(reply, form, reply.revision) {
+        printTable("JOB", "TEAM", "STATE", "TASKS", "DONE", "PLACED", "REASON", "DETAIL") {
             row(reply.job, reply.team, reply.state, reply.tasks, reply.done, reply.placed, reply.reason, reply.detail)
         }
-        revision(reply.revision)
     }
 
-    fun zones(reply: Zones, form: OutputForm) = print(reply, form) {
+    fun zones(reply: Zones, form: OutputForm) = print(reply, form, reply.revision) {
         zones(reply.zonesList)
         shares(reply.sharesList)
-        revision(reply.revision)
     }
 
-    fun zone(reply: ZoneReply, form: OutputForm) = print(reply, form) {
+    fun zone(reply: ZoneReply, form: OutputForm) = print(reply, form, reply.revision) {
         zones(listOf(reply.zone))
         shares(reply.sharesList)
-        revision(reply.revision)
     }
 
-    private fun zones(all: List<Zone>) =
-        table(listOf("ZONE", "STATE", "LOSSES", "MACHINES", "OPEN", "HELD", "ABANDONED", "SINCE")) {
-            for (z in all) {
-                val held = z.heldList.joinToString(" ") { "${it.jobClass}:${it.tasks}" }
-                val since = if (z.sinceMs == 0L) "" else Instant.ofEpochMilli(z.sinceMs).toString()
+    private fun drains(drains: List<Drain>) =
+        printTable("ID", "STATE", "TARGET", "CORDONED", "REMAINING", "DISRUPTED", "ORDERED") {
+            for (drain in drains) {
                 row(
-                    z.name,
-                    z.state,
-                    z.incarnation,
-                    z.machines,
-                    z.openMachines,
-                    held,
-                    z.abandonedList.joinToString(" "),
-                    since,
+                    drain.id,
+                    drain.state,
+                    drain.target,
+                    drain.cordoned,
+                    drain.remaining,
+                    drain.disrupted,
+                    Instant.ofEpochMilli(drain.orderedMs).toString(),
                 )
             }
         }
 
-    private fun shares(all: List<FairShare>) = table(listOf("TEAM", "FAIR", "HAS", "SHORT")) {
-        for (s in all) row(s.team, amount(s.target), amount(s.held), "%.0f %%".format(s.shortfall * PERCENT))
+    private fun budgets(budgets: List<Budget>) = printTable("TEAM", "EXPECTED", "MAY LACK", "LACKS", "BY") {
+        for (budget in budgets) {
+            val causes = budget.spentList.joinToString(" ") { "${it.by}:${it.tasks}" }
+            row(budget.team, amount(budget.expected), amount(budget.allowed), amount(budget.unavailable), causes)
+        }
     }
 
-    private const val PERCENT = 100.0
+    private fun machines(machines: List<Machine>) =
+        printTable("MACHINE", "TYPE", "ZONE", "KIND", "PHASE", "HEALTH", "DRAIN", "TASKS", "TEAMS") {
+            for (machine in machines) {
+                row(
+                    machine.name,
+                    machine.machineType,
+                    machine.zone,
+                    if (machine.preemptible) "preemptible" else "on-demand",
+                    machine.phase,
+                    machine.health,
+                    machine.drain,
+                    machine.tasks,
+                    machine.teamsList.joinToString(" "),
+                )
+            }
+        }
 
-    private fun budgets(all: List<Budget>) = table(listOf("TEAM", "EXPECTED", "MAY LACK", "LACKS", "BY")) {
-        for (b in all) {
-            val spent = b.spentList.joinToString(" ") { "${it.by}:${it.tasks}" }
-            row(b.team, amount(b.expected), amount(b.allowed), amount(b.unavailable), spent)
+    private fun zones(zones: List<Zone>) =
+        printTable("ZONE", "STATE", "LOSSES", "MACHINES", "OPEN", "HELD", "ABANDONED", "SINCE") {
+            for (zone in zones) {
+                row(
+                    zone.name,
+                    zone.state,
+                    zone.incarnation,
+                    zone.machines,
+                    zone.openMachines,
+                    zone.heldList.joinToString(" ") { "${it.jobClass}:${it.tasks}" },
+                    zone.abandonedList.joinToString(" "),
+                    if (zone.sinceMs == 0L) "" else Instant.ofEpochMilli(zone.sinceMs).toString(),
+                )
+            }
         }
-    }
 
-    private fun cells(d: Drain): Array<Any> = arrayOf(
-        d.id,
-        d.state,
-        d.target,
-        d.cordoned,
-        d.remaining,
-        d.disrupted,
-        Instant.ofEpochMilli(d.orderedMs).toString(),
-    )
+    private fun shares(shares: List<FairShare>) = printTable("TEAM", "FAIR", "HAS", "SHORT") {
+        for (share in shares) {
+            row(share.team, amount(share.target), amount(share.held), "%.0f %%".format(share.shortfall * PERCENT))
+        }
+    }
 
-    private fun amount(c: Capacity) = "%.1f CPU %.1f acc".format(c.cpus, c.accelerators)
+    private fun amount(capacity: Capacity) = "%.1f CPU %.1f acc".format(capacity.cpus, capacity.accelerators)
 
-    private fun table(head: List<String>, rows: TableDsl.() -> Unit) = println(
-        table {
+    private fun printTable(vararg head: String, rows: TableDsl.() -> Unit) {
+        val table = table {
             cellStyle { paddingRight = 2 }
-            row(*head.toTypedArray())
+            row(*head)
             rows()
-        },
-    )
-
-    private fun revision(revision: Long) = println("revision ${java.lang.Long.toUnsignedString(revision)}")
+        }
+        println(table)
+    }
 
-    private fun print(message: Message, form: OutputForm, asTable: () -> Unit) {
-        if (form == OutputForm.JSON) println(json.print(message)) else asTable()
+    /** Prints [message] as JSON, or with [printTables] followed by the [revision] that the answer is of. */
+    private fun print(message: Message, form: OutputForm, revision: Long, printTables: () -> Unit) {
+        if (form == OutputForm.JSON) return println(json.print(message))
+        printTables()
+        println("revision ${java.lang.Long.toUnsignedString(revision)}")
     }
 }
