--- a/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
@@ -3,7 +3,7 @@
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.fleet.FleetRules
+import flaxfield.fleet.OnDemandUrgency
 import flaxfield.fleet.Machine
 import flaxfield.jobs.Job
 import flaxfield.jobs.Resources
@@ -77,7 +77,7 @@
     private fun mayUseOnDemand(job: Job): Boolean = !hasSpotMachines ||
         context.scheduling.hasObjective(job.spec.jobClass) ||
         context.scheduling.isStarved(job) ||
-        FleetRules.pressesWithoutAim(
+        OnDemandUrgency.isOverdueWithoutObjective(
             (context.nowMs - job.submittedMs) / MILLIS_PER_SECOND,
             begun = job.placedCount + job.doneCount > 0,
         )
--- a/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
@@ -38,7 +38,7 @@
         state = HttpClient(eventLoops, outbound, settings.state, STORE_CONNECTIONS, STORE_WAITING),
         watch = HttpClient(eventLoops, outbound, settings.state, 1, 1),
         cloud = HttpClient(eventLoops, outbound, settings.cloud, CLOUD_CONNECTIONS),
-        worker = { HttpClient(eventLoops, outbound, it, 1, keep = false) },
+        worker = { HttpClient(eventLoops, outbound, it, 1, keepAlive = false) },
         peer = { address, onMessage -> PeerClient(eventLoops, outbound, address, onMessage) },
         flushLate = outbound::flushLate,
     )
--- a/src/main/kotlin/flaxfield/controller/PeerMessageRouter.kt
+++ b/src/main/kotlin/flaxfield/controller/PeerMessageRouter.kt
@@ -9,7 +9,7 @@
 internal class PeerMessageRouter(private val peers: PeerGateway, private val heartbeats: HeartbeatHandler) {
     fun route(command: Command.Peer) {
         when (val message = command.message) {
-            is PeerMessage.PeerHeartbeat -> peers.pulse(message)
+            is PeerMessage.PeerHeartbeat -> peers.receiveHeartbeat(message)
             is PeerMessage.ForwardedHeartbeat ->
                 heartbeats.forwardedHeartbeat(message.heartbeat, forwardedResponder(message.id, command.answer))
             // Answers come back on the connection that the heartbeat was forwarded over, not through the queue.
--- a/src/main/kotlin/flaxfield/controller/Readiness.kt
+++ b/src/main/kotlin/flaxfield/controller/Readiness.kt
@@ -22,7 +22,7 @@
         if (storeContact.silenceNs() <= storeSilentNs) return true
         if (peers.storeReachableElsewhere()) return false
         // Peers that are silent as well tell that this process is cut off, not that all are.
-        return settings.peers.isEmpty() || peers.heard()
+        return settings.peers.isEmpty() || peers.hasRecentPeer()
     }
 
     private companion object {
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -65,7 +65,7 @@
 
     private fun decodePage(fields: FieldMap) = MachineListPage(
         fields.mapList("hosts").map { ListedMachine(it.requireText("id"), it.text("phase") == FAILED) },
-        fields.flag("more") ?: false,
+        fields.boolean("more") ?: false,
     )
 
     /** What [decode] gives, or [fallback] for a body that is not what the protocol says. */
--- a/src/main/kotlin/flaxfield/fleet/FleetCodec.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetCodec.kt
@@ -34,7 +34,7 @@
         fields.requireBoolean("lendable"),
         MachinePhase.valueOf(fields.requireText("phase").uppercase()),
         fields.requireUnsigned("at").toLong(),
-        fields.obj("claim")?.let(::decodeReservation),
+        fields.nestedMap("claim")?.let(::decodeReservation),
         version,
         fields.text("cordon"),
     )
@@ -43,8 +43,8 @@
         fields.requireText("job"),
         fields.requireUnsigned("term"),
         fields.int("tasks") ?: 1,
-        fields.flag("evict") ?: false,
-        fields.count("try")?.toLong() ?: 0L,
+        fields.boolean("evict") ?: false,
+        fields.unsigned("try")?.toLong() ?: 0L,
     )
 
     /** The stored value of [rental]; its name and version are the store's. */
--- a/src/main/kotlin/flaxfield/jobs/JobCodec.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobCodec.kt
@@ -95,10 +95,10 @@
     fun decodeHead(fields: FieldMap, version: ULong): Job = Job(
         spec = decodeSpec(fields.requireMap("spec")),
         submittedMs = fields.requireUnsigned("at").toLong(),
-        cancelledMs = fields.count("cancelled")?.toLong(),
+        cancelledMs = fields.unsigned("cancelled")?.toLong(),
         failedMachines = fields.textList("bad").orEmpty(),
         failureCount = fields.int("errors") ?: 0,
-        retryAtMs = fields.count("retry")?.toLong() ?: 0,
+        retryAtMs = fields.unsigned("retry")?.toLong() ?: 0,
         chunkTasks = fields.requireInt("size"),
         chunks = mapOf(0 to decodeChunk(fields, version)),
         version = version,
@@ -144,7 +144,7 @@
 
     /** Reads a finished job's value. */
     fun decodeFinished(id: String, fields: FieldMap) =
-        FinishedJob(id, fields.flag("aborted") ?: false, fields.int("done") ?: 0)
+        FinishedJob(id, fields.boolean("aborted") ?: false, fields.int("done") ?: 0)
 
     /** The status that users get for a job that is not over. */
     fun status(job: Job): Map<String, Any?> = mapOf(
--- a/src/main/kotlin/flaxfield/store/ClusterReplica.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterReplica.kt
@@ -82,7 +82,7 @@
     private fun replayMachineTypes(value: FieldMap?) {
         records.machineTypes = value?.let(FleetCodec::machineTypes).orEmpty()
         records.placements.invalidateFree()
-        records.machineTypesWrittenMs = value?.count("at")?.toLong() ?: 0
+        records.machineTypesWrittenMs = value?.unsigned("at")?.toLong() ?: 0
     }
 
     private fun <T : Any> set(records: HashMap<String, T>, name: String, record: T?) {
--- a/src/main/kotlin/flaxfield/store/StoreCodec.kt
+++ b/src/main/kotlin/flaxfield/store/StoreCodec.kt
@@ -58,7 +58,7 @@
         val fields = Cbor.decode(body)
         return ListResult.Page(
             fields.mapList("items").map(::decodeItem),
-            fields.flag("more") ?: false,
+            fields.boolean("more") ?: false,
             fields.requireUnsigned("ledger"),
         )
     }
--- a/src/main/kotlin/flaxfield/workers/MisroutedHeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/MisroutedHeartbeatHandler.kt
@@ -58,7 +58,7 @@
 
     /** The owner's response goes back to the worker; without one, the lease is renewed here. */
     private fun forward(heartbeat: Heartbeat, owner: String?, body: ByteArray, term: ULong, responder: Responder) =
-        peers.relay(owner, body) { status, response ->
+        peers.forwardHeartbeat(owner, body) { status, response ->
             if (response != null) {
                 responder.send(status, Body(response, Body.CBOR), null)
             } else {
--- a/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
+++ b/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
@@ -9,7 +9,7 @@
 import flaxfield.operator.Answers
 import flaxfield.operator.JobExplainer
 import flaxfield.operator.WaitText
-import flaxfield.operator.ZoneAnswers
+import flaxfield.operator.ZoneResponses
 import org.junit.jupiter.api.Assertions.assertEquals
 
 /** What operators are told over gRPC, from one snapshot. */
@@ -21,7 +21,7 @@
         snapshot.copy(configs = snapshot.configs.remove("n-1")),
         MAX_ENTRIES,
     )
-    private val zoneAnswers get() = ZoneAnswers(snapshot, OperatorSnapshot.teams)
+    private val zoneAnswers get() = ZoneResponses(snapshot, OperatorSnapshot.teams)
 
     private val messages = listOf(
         proto("drains") { answers.drains() },
--- a/src/test/kotlin/flaxfield/golden/SettingsFiles.kt
+++ b/src/test/kotlin/flaxfield/golden/SettingsFiles.kt
@@ -92,7 +92,7 @@
     )
 
     private val files = listOf(
-        fileDecode("settings.json", settingsText, settings) { Settings.of(Cbor.decodeJson(it.toByteArray())) },
+        fileDecode("settings.json", settingsText, settings) { Settings.of(Json.decode(it.toByteArray())) },
         fileDecode("operator.properties", propertiesText, operatorSettings, ::properties),
         fileDecode(
             "zones.properties",
@@ -148,7 +148,7 @@
     private val messages = listOf(
         textOnly("bad-settings.txt") {
             settingsChanges.joinToString("") { (from, to) ->
-                message { Settings.of(Cbor.decodeJson(settingsText.replace(from, to).toByteArray())) }
+                message { Settings.of(Json.decode(settingsText.replace(from, to).toByteArray())) }
             } + message { Settings.load("does/not/exist") }
         },
         textOnly("bad-properties.txt") {
--- a/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
@@ -65,7 +65,7 @@
         var result = "none"
         handler.heartbeat(Cbor.encode(body)) { status, response, _ ->
             val message = if (response.bytes.isEmpty()) null else Cbor.decode(response.bytes)
-            result = listOfNotNull(status, message?.count("epoch"), message?.text("steward")).joinToString(" ")
+            result = listOfNotNull(status, message?.unsigned("epoch"), message?.text("steward")).joinToString(" ")
         }
         return result
     }
