--- a/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
+++ b/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
@@ -77,7 +77,7 @@
     private fun onReadFailed(asked: List<Waiter>) {
         // Some have been given up on meanwhile. On a kept connection a second response would be taken for the next
         // request's.
-        end(asked.filter { it in waiters }) { JobReadResult.Unavailable(STORE_SILENT) }
+        end(asked.filterTo(HashSet()) { it in waiters }) { JobReadResult.Unavailable(STORE_SILENT) }
     }
 
     /** Ends the reads whose revision the view has reached. */
@@ -95,7 +95,7 @@
         readRevision()
     }
 
-    private fun end(ended: List<Waiter>, resultOf: (Waiter) -> JobReadResult) {
+    private fun end(ended: Collection<Waiter>, resultOf: (Waiter) -> JobReadResult) {
         if (ended.isEmpty()) return
         waiters.removeAll(ended.toSet())
         for (waiter in ended) waiter.done(resultOf(waiter))
