--- a/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
+++ b/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
@@ -6,9 +6,11 @@
 import flaxfield.drain.RepeatPolicy
 import flaxfield.drain.WaitReason
 import flaxfield.golden.GoldenCases.textOnly
-import flaxfield.operator.Answers
+import flaxfield.operator.BudgetResponses
+import flaxfield.operator.DrainResponses
+import flaxfield.operator.MachineResponses
 import flaxfield.operator.JobExplainer
-import flaxfield.operator.WaitText
+import flaxfield.operator.WaitReasonText
 import flaxfield.operator.ZoneResponses
 import org.junit.jupiter.api.Assertions.assertEquals
 
@@ -16,21 +18,22 @@
 object OperatorMessages {
     private const val MAX_ENTRIES = 100
     private val snapshot = OperatorSnapshot.snapshot
-    private val answers get() = Answers(snapshot, MAX_ENTRIES)
-    private val answersWithoutConfig get() = Answers(
+    private val drainResponses get() = DrainResponses(snapshot, MAX_ENTRIES)
+    private val budgetResponses get() = BudgetResponses(snapshot)
+    private val drainResponsesWithoutConfig get() = DrainResponses(
         snapshot.copy(configs = snapshot.configs.remove("n-1")),
         MAX_ENTRIES,
     )
-    private val zoneAnswers get() = ZoneResponses(snapshot, OperatorSnapshot.teams)
+    private val zoneResponses get() = ZoneResponses(snapshot, OperatorSnapshot.teams)
 
     private val messages = listOf(
-        proto("drains") { answers.drains() },
-        proto("drains-without-config") { answersWithoutConfig.drains() },
-        proto("budgets") { answers.budgets() },
-        proto("budget-of-team") { listOf(checkNotNull(answers.budgetOf("green"))) },
-        proto("machines") { answers.machines() },
-        proto("zones") { zoneAnswers.zones() },
-        proto("shares") { zoneAnswers.shares() },
+        proto("drains") { drainResponses.drains() },
+        proto("drains-without-config") { drainResponsesWithoutConfig.drains() },
+        proto("budgets") { budgetResponses.budgets() },
+        proto("budget-of-team") { listOf(checkNotNull(budgetResponses.budgetOf("green"))) },
+        proto("machines") { MachineResponses(snapshot).machines() },
+        proto("zones") { zoneResponses.zones() },
+        proto("shares") { zoneResponses.shares() },
         proto("explanations") {
             OperatorSnapshot.jobs.map { JobExplainer(snapshot, OperatorSnapshot.teams).explain(it) }
         },
@@ -69,7 +72,7 @@
         MachineHealth.entries.map(WaitReason::NotReporting)
 
     private val waits = textOnly("wait-reasons.encode-only.txt") {
-        reasons.joinToString("") { "${WaitText.word(it)}: ${WaitText.sentence(it)}\n" }
+        reasons.joinToString("") { "${WaitReasonText.code(it)}: ${WaitReasonText.detail(it)}\n" }
     }
 
     private const val SEPARATOR = "--\n"
--- a/src/test/kotlin/flaxfield/golden/SettingsFiles.kt
+++ b/src/test/kotlin/flaxfield/golden/SettingsFiles.kt
@@ -1,6 +1,6 @@
 package flaxfield.golden
 
-import flaxfield.codec.Cbor
+import flaxfield.codec.Json
 import flaxfield.codec.MalformedException
 import flaxfield.drain.BudgetLimit
 import flaxfield.drain.Capacity
