--- a/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
@@ -3,8 +3,8 @@
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.fleet.OnDemandUrgency
 import flaxfield.fleet.Machine
+import flaxfield.fleet.OnDemandUrgency
 import flaxfield.jobs.Job
 import flaxfield.jobs.Resources
 import flaxfield.store.StoreKeys
--- a/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
@@ -1,9 +1,9 @@
 package flaxfield.arrays
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobAdmission
+import flaxfield.jobs.JobTransactions
 import flaxfield.quota.TeamUsage
 import flaxfield.settings.Team
 import flaxfield.store.Change
--- a/src/main/kotlin/flaxfield/arrays/InitialPlacement.kt
+++ b/src/main/kotlin/flaxfield/arrays/InitialPlacement.kt
@@ -1,8 +1,8 @@
 package flaxfield.arrays
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.StoreKeys
 
 /** A job as it is submitted, with its tasks placed, and the conditions that this rests on. */
--- a/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
@@ -116,7 +116,9 @@
         /** Commands that are carried out between two turns. */
         const val BATCH = 128
 
-        /** A small part of the shortest time that anyone waits for an answer: a user's poll or the view's next change. */
+        /**
+         * A small part of the shortest time that anyone waits for an answer: a user's poll or the view's next change.
+         */
         const val LINGER_MS = 8L
         const val STORE_CONNECTIONS = 6
 
--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -1,9 +1,9 @@
 package flaxfield.drain
 
-import flaxfield.jobs.TaskId
 import flaxfield.arrays.MachineHealth
 import flaxfield.jobs.Job
 import flaxfield.jobs.Placement
+import flaxfield.jobs.TaskId
 
 /** Why a task counts as unavailable. */
 enum class Absence {
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -1,10 +1,10 @@
 package flaxfield.drain
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.fleet.FleetCodec
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
--- a/src/main/kotlin/flaxfield/drain/DrainRecords.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainRecords.kt
@@ -1,7 +1,7 @@
 package flaxfield.drain
 
-import flaxfield.jobs.TaskId
 import flaxfield.fleet.Machine
+import flaxfield.jobs.TaskId
 
 /** Which machines a drain is for: all conditions that are set must hold. */
 data class Selector(
--- a/src/main/kotlin/flaxfield/drain/EvictionBatch.kt
+++ b/src/main/kotlin/flaxfield/drain/EvictionBatch.kt
@@ -1,7 +1,7 @@
 package flaxfield.drain
 
-import flaxfield.jobs.TaskId
 import flaxfield.fleet.Machine
+import flaxfield.jobs.TaskId
 
 /** The evictions that one machine could contribute to a batch. */
 internal class MachineEvictions(
--- a/src/main/kotlin/flaxfield/drain/FinishedDrainCleaner.kt
+++ b/src/main/kotlin/flaxfield/drain/FinishedDrainCleaner.kt
@@ -1,7 +1,7 @@
 package flaxfield.drain
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.Transaction
 import flaxfield.store.WriteCause
--- a/src/main/kotlin/flaxfield/drain/LedgerReleaser.kt
+++ b/src/main/kotlin/flaxfield/drain/LedgerReleaser.kt
@@ -1,9 +1,9 @@
 package flaxfield.drain
 
-import flaxfield.jobs.TaskId
-import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobTransactions
+import flaxfield.jobs.TaskId
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
--- a/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
@@ -1,10 +1,10 @@
 package flaxfield.drain
 
-import flaxfield.jobs.TaskId
-import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobTransactions
 import flaxfield.jobs.Placement
+import flaxfield.jobs.TaskId
 import flaxfield.store.Change
 import flaxfield.store.Transaction
 import flaxfield.store.TransactionOutcome
--- a/src/main/kotlin/flaxfield/fleet/MachineTypeRefresher.kt
+++ b/src/main/kotlin/flaxfield/fleet/MachineTypeRefresher.kt
@@ -1,9 +1,9 @@
 package flaxfield.fleet
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
--- a/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
@@ -1,7 +1,7 @@
 package flaxfield.fleet
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.controller.ControllerContext
+import flaxfield.jobs.JobTransactions
 import flaxfield.jobs.TaskEvent
 import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
@@ -1,8 +1,8 @@
 package flaxfield.fleet
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
--- a/src/main/kotlin/flaxfield/gangs/GangReservations.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangReservations.kt
@@ -1,6 +1,5 @@
 package flaxfield.gangs
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.arrays.PlacementCandidate
 import flaxfield.controller.ControllerContext
@@ -8,6 +7,7 @@
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachineReservation
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobTransactions
 import flaxfield.quota.TeamUsage
 import flaxfield.settings.Team
 import flaxfield.store.Change
@@ -44,7 +44,10 @@
     /** The machines with a valid reservation, by the gang that it is for. */
     fun activeByGang(): Map<String, List<Machine>> {
         val view = context.view
-        val machines = view.reservedMachines.mapNotNull { view.machines[it] }.filter { view.activeReservation(it) != null }
+        val machines = view.reservedMachines.mapNotNull { view.machines[it] }.filter {
+            view.activeReservation(it) !=
+                null
+        }
         val byGang = machines.groupBy { it.reservation?.job.orEmpty() }
         reservedSinceNs.keys.retainAll(byGang.keys)
         return byGang
--- a/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -1,7 +1,7 @@
 package flaxfield.jobs
 
-import flaxfield.arrays.InitialPlacement
 import flaxfield.BYTES_PER_KIB
+import flaxfield.arrays.InitialPlacement
 import flaxfield.codec.Cbor
 import flaxfield.codec.MalformedException
 import flaxfield.controller.ControllerContext
--- a/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
@@ -5,10 +5,10 @@
 import flaxfield.operator.v1.HeldTasks
 import flaxfield.operator.v1.Zone
 import flaxfield.settings.Team
-import flaxfield.zones.TeamShareCalculator
 import flaxfield.zones.FleetZoneRules
 import flaxfield.zones.RepeatGuard
 import flaxfield.zones.ReturnRamp
+import flaxfield.zones.TeamShareCalculator
 import flaxfield.zones.ZoneRecord
 
 /** Pure: the zones of one snapshot as operators see them. The same on each controller at the same revision. */
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -5,8 +5,8 @@
 import flaxfield.fleet.MachineReservation
 import flaxfield.fleet.MachineType
 import flaxfield.fleet.Rental
-import flaxfield.jobs.JobChunk
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobChunk
 import flaxfield.jobs.Resources
 import flaxfield.membership.Member
 import flaxfield.membership.ShardAssignment
--- a/src/main/kotlin/flaxfield/store/JobRecords.kt
+++ b/src/main/kotlin/flaxfield/store/JobRecords.kt
@@ -1,8 +1,8 @@
 package flaxfield.store
 
 import flaxfield.codec.FieldMap
-import flaxfield.jobs.JobChunk
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobChunk
 import flaxfield.jobs.JobCodec
 import flaxfield.jobs.Placement
 
--- a/src/main/kotlin/flaxfield/store/ViewFreshness.kt
+++ b/src/main/kotlin/flaxfield/store/ViewFreshness.kt
@@ -1,9 +1,10 @@
 package flaxfield.store
 
 /**
- * An upper bound on the age of the view. It counts from [sinceNs], when a read of the revision that the view has reached
- * was sent: all that was committed before it, and so all that users were told before it, is in the view. Any other
- * answer shows contact and no more: a lease is renewed also while the view stands still. Owned by the owner thread.
+ * An upper bound on the age of the view. It counts from [sinceNs], when a read of the revision that the view has
+ * reached was sent: all that was committed before it, and so all that users were told before it, is in the view. Any
+ * other answer shows contact and no more: a lease is renewed also while the view stands still. Owned by the owner
+ * thread.
  */
 class ViewFreshness {
     private class RevisionRead(val sentNs: Long, val revision: ULong)
--- a/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
@@ -1,9 +1,9 @@
 package flaxfield.zones
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
 import flaxfield.fleet.MachinePhase
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
--- a/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
@@ -1,6 +1,5 @@
 package flaxfield.drain
 
-import flaxfield.jobs.TaskId
 import flaxfield.Samples
 import flaxfield.Samples.on
 import flaxfield.arrays.MachineHealth
@@ -9,6 +8,7 @@
 import flaxfield.fleet.MachinePhase
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobKind
+import flaxfield.jobs.TaskId
 import flaxfield.membership.Member
 import flaxfield.membership.ShardAssignment
 import kotlinx.collections.immutable.persistentHashMapOf
--- a/src/test/kotlin/flaxfield/golden/CloudProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/CloudProtocol.kt
@@ -1,8 +1,8 @@
 package flaxfield.golden
 
 import flaxfield.fleet.CloudClient
-import flaxfield.fleet.MachineListPage
 import flaxfield.fleet.ListedMachine
+import flaxfield.fleet.MachineListPage
 import flaxfield.fleet.RentalResponse
 import flaxfield.golden.GoldenCases.textOnly
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
+++ b/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
@@ -8,8 +8,8 @@
 import flaxfield.golden.GoldenCases.textOnly
 import flaxfield.operator.BudgetResponses
 import flaxfield.operator.DrainResponses
-import flaxfield.operator.MachineResponses
 import flaxfield.operator.JobExplainer
+import flaxfield.operator.MachineResponses
 import flaxfield.operator.WaitReasonText
 import flaxfield.operator.ZoneResponses
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/flaxfield/golden/StateServiceProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/StateServiceProtocol.kt
@@ -3,9 +3,9 @@
 import flaxfield.golden.GoldenCases.textOnly
 import flaxfield.net.HttpTransport
 import flaxfield.store.Change
-import flaxfield.store.ListResult
 import flaxfield.store.KeyUpdate
 import flaxfield.store.LeaseGrantResult
+import flaxfield.store.ListResult
 import flaxfield.store.ReadResult
 import flaxfield.store.StoreClient
 import flaxfield.store.Transaction
--- a/src/test/kotlin/flaxfield/golden/Transactions.kt
+++ b/src/test/kotlin/flaxfield/golden/Transactions.kt
@@ -1,6 +1,5 @@
 package flaxfield.golden
 
-import flaxfield.jobs.JobTransactions
 import flaxfield.Samples
 import flaxfield.Samples.on
 import flaxfield.controller.SubsystemParts
@@ -9,6 +8,7 @@
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobCodec
 import flaxfield.jobs.JobKind
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.StoreClient
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
--- a/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
@@ -34,7 +34,9 @@
     // Two zones, each with one of the two controllers: a machine's zone tells its owner.
     private val settings = Samples.settings().copy(zones = 2)
     private val context =
-        ControllerContext(settings, OperatorSettings(), self, clock, StoreClient(silence, silence, 1), replica.view) { it() }
+        ControllerContext(settings, OperatorSettings(), self, clock, StoreClient(silence, silence, 1), replica.view) {
+            it()
+        }
     private val workerHealth = WorkerHealth(context)
     private val handler = HeartbeatHandler(
         context,
