--- a/src/main/kotlin/flaxfield/client/ClientOptions.kt
+++ b/src/main/kotlin/flaxfield/client/ClientOptions.kt
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Option
 
 /** The options of all commands that ask a controller. */
-class ClientOptions {
+internal class ClientOptions {
     @Option(
         names = ["--endpoint"],
         paramLabel = "HOST:PORT",
--- a/src/main/kotlin/flaxfield/client/Durations.kt
+++ b/src/main/kotlin/flaxfield/client/Durations.kt
@@ -4,7 +4,7 @@
 import java.time.format.DateTimeParseException
 
 /** Durations on the command line: a decimal number and a unit of seconds, minutes, hours or days. */
-object Durations {
+internal object Durations {
     private val FORMAT = Regex("[0-9]+(\\.[0-9]+)?[smhd]")
     private const val DAY_S = 86_400.0
 
--- a/src/main/kotlin/flaxfield/client/Output.kt
+++ b/src/main/kotlin/flaxfield/client/Output.kt
@@ -21,20 +21,22 @@
 import flaxfield.operator.v1.ZoneList as Zones
 
 /** The formats in which answers are printed. */
-enum class OutputForm { TABLE, JSON }
+internal enum class OutputForm { TABLE, JSON }
 
 /**
  * Prints answers: as tables for people, or in the JSON form of the contract, whose field names are those of
  * `operator.proto`.
  */
-object Output {
+internal object Output {
     private const val PERCENT = 100.0
     private val json = JsonFormat.printer().preservingProtoFieldNames().includingDefaultValueFields()
 
+    /** Prints a list of drains. */
     fun drains(reply: Drains, form: OutputForm) = print(reply, form, reply.revision) {
         drains(reply.drainsList)
     }
 
+    /** Prints one drain, with the reasons why its machines wait. */
     fun drain(reply: DrainReply, form: OutputForm) = print(reply, form, reply.revision) {
         drains(listOf(reply.drain))
         if (reply.drain.note.isNotEmpty()) println(reply.drain.note)
@@ -45,29 +47,35 @@
         }
     }
 
+    /** Prints the teams' disruption budgets. */
     fun budgets(reply: Budgets, form: OutputForm) = print(reply, form, reply.revision) {
         budgets(reply.budgetsList)
     }
 
+    /** Prints one team's disruption budget. */
     fun budget(reply: BudgetReply, form: OutputForm) = print(reply, form, reply.revision) {
         budgets(listOf(reply.budget))
     }
 
+    /** Prints a list of machines. */
     fun machines(reply: Machines, form: OutputForm) = print(reply, form, reply.revision) {
         machines(reply.machinesList)
     }
 
+    /** Prints why a job is in its state. */
     fun explanation(reply: JobExplanation, form: OutputForm) = print(reply, form, reply.revision) {
         printTable("JOB", "TEAM", "STATE", "TASKS", "DONE", "PLACED", "REASON", "DETAIL") {
             row(reply.job, reply.team, reply.state, reply.tasks, reply.done, reply.placed, reply.reason, reply.detail)
         }
     }
 
+    /** Prints the zones and the fair shares of teams. */
     fun zones(reply: Zones, form: OutputForm) = print(reply, form, reply.revision) {
         zones(reply.zonesList)
         shares(reply.sharesList)
     }
 
+    /** Prints one zone and the fair shares of teams. */
     fun zone(reply: ZoneReply, form: OutputForm) = print(reply, form, reply.revision) {
         zones(listOf(reply.zone))
         shares(reply.sharesList)
--- a/src/main/kotlin/flaxfield/drain/DrainCodec.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainCodec.kt
@@ -5,6 +5,7 @@
 
 /** Stored forms of the drain records; field names and values are part of the stored data and must not change. */
 object DrainCodec {
+    /** The stored form of a drain; its id is part of the key. */
     fun encode(drain: DrainRecord): Map<String, Any?> = mapOf(
         "selector" to encode(drain.selector),
         "at" to drain.orderedMs,
@@ -14,6 +15,7 @@
         "note" to drain.note,
     )
 
+    /** The drain called [id], as it is stored at [version]; throws [MalformedException]. */
     fun drain(id: String, fields: FieldMap, version: ULong) = DrainRecord(
         id,
         selector(fields.requireMap("selector")),
@@ -41,12 +43,14 @@
         fields.number("percent"),
     )
 
+    /** The stored form of a ledger; its team is part of the key. */
     fun encode(ledger: Ledger): Map<String, Any?> = mapOf(
         "entries" to ledger.entries.map { (task, disruption) ->
             listOf(task.job, task.index, disruption.attempt, disruption.drain)
         },
     )
 
+    /** The ledger of [team], as it is stored at [version]. */
     fun ledger(team: String, fields: FieldMap, version: ULong) = Ledger(
         team,
         fields.list("entries").orEmpty().associate { row ->
@@ -57,6 +61,7 @@
         version,
     )
 
+    /** The stored form of a controller's fleet file. */
     fun encode(config: FleetConfig): Map<String, Any?> = mapOf(
         "run" to config.incarnation,
         "budgets" to config.budgets.mapValues { encode(it.value) },
@@ -68,6 +73,7 @@
         "recovery_tiers" to config.recoveryTiers,
     )
 
+    /** A controller's fleet file, as it is stored; throws [MalformedException]. */
     fun config(fields: FieldMap) = FleetConfig(
         fields.requireText("run"),
         fields.requireMap("budgets").let { all -> all.map.keys.associateWith { limit(all.requireMap(it)) } },
