--- a/src/main/kotlin/flaxfield/cli/Main.kt
+++ b/src/main/kotlin/flaxfield/cli/Main.kt
@@ -36,9 +36,9 @@
         serve(serve)
     } catch (e: MalformedException) {
         fail(e.message ?: "bad settings")
-    } catch (e: Throwable) {
+    } catch (fault: Throwable) {
         // The owner thread has ended: a process that only answers from the network would be worse than none.
-        System.err.println("flaxfield: ended by $e")
+        System.err.println("flaxfield: ended by $fault")
         Runtime.getRuntime().halt(EXIT_FAULT)
     }
 }
--- a/src/main/kotlin/flaxfield/client/ExitCode.kt
+++ b/src/main/kotlin/flaxfield/client/ExitCode.kt
@@ -31,4 +31,4 @@
 }
 
 /** The failure of a command: a message of one line, and an exit code. */
-class ClientFault(val code: ExitCode, message: String) : Exception(message)
+class ClientFault(val code: ExitCode, message: String, cause: Throwable? = null) : Exception(message, cause)
--- a/src/main/kotlin/flaxfield/client/OperatorClient.kt
+++ b/src/main/kotlin/flaxfield/client/OperatorClient.kt
@@ -26,7 +26,7 @@
         val address = try {
             Address.parse(endpoint)
         } catch (e: MalformedException) {
-            throw ClientFault(ExitCode.USAGE, "--endpoint: ${e.message}")
+            throw ClientFault(ExitCode.USAGE, "--endpoint: ${e.message}", e)
         }
         return NettyChannelBuilder
             .forAddress(address.host, address.port)
--- a/src/main/kotlin/flaxfield/codec/FieldMap.kt
+++ b/src/main/kotlin/flaxfield/codec/FieldMap.kt
@@ -6,34 +6,45 @@
  */
 @JvmInline
 value class FieldMap(val map: Map<String, Any?>) {
+    /** The text of [key]. */
     fun text(key: String): String? = map[key] as? String
 
+    /** The text of [key], which must be there. */
     fun requireText(key: String): String = text(key) ?: invalid(key)
 
+    /** The number of [key], whole or not. */
     fun number(key: String): Double? = when (val value = map[key]) {
         is Number -> value.toDouble()
         is ULong -> value.toDouble()
         else -> null
     }
 
+    /** The number of [key], which must be there. */
     fun requireNumber(key: String): Double = number(key) ?: invalid(key)
 
     /** An unsigned 64-bit integer: a count, version, token or attempt. */
     fun unsigned(key: String): ULong? = toUnsigned(map[key])
 
+    /** The unsigned integer of [key], which must be there. */
     fun requireUnsigned(key: String): ULong = unsigned(key) ?: invalid(key)
 
+    /** An unsigned integer that fits an [Int]. */
     fun int(key: String): Int? = unsigned(key)?.let { if (it <= Int.MAX_VALUE.toULong()) it.toInt() else null }
 
+    /** The [Int] of [key], which must be there. */
     fun requireInt(key: String): Int = int(key) ?: invalid(key)
 
+    /** The truth value of [key]. */
     fun boolean(key: String): Boolean? = map[key] as? Boolean
 
+    /** The truth value of [key], which must be there. */
     fun requireBoolean(key: String): Boolean = boolean(key) ?: invalid(key)
 
+    /** The map of [key]. */
     @Suppress("UNCHECKED_CAST")
     fun nestedMap(key: String): FieldMap? = (map[key] as? Map<String, Any?>)?.let { FieldMap(it) }
 
+    /** The map of [key], which must be there. */
     fun requireMap(key: String): FieldMap = nestedMap(key) ?: invalid(key)
 
     /** A list of any values. */
--- a/src/main/kotlin/flaxfield/codec/TreeReader.kt
+++ b/src/main/kotlin/flaxfield/codec/TreeReader.kt
@@ -30,7 +30,7 @@
                 return value
             }
         } catch (e: IOException) {
-            throw MalformedException(e.message?.lineSequence()?.firstOrNull() ?: "unreadable")
+            throw MalformedException(e.message?.lineSequence()?.firstOrNull() ?: "unreadable", e)
         }
     }
 
--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -77,7 +77,7 @@
             is Command.Run -> command.block()
             is Command.Peer -> peerMessages.route(command)
             // After a pause the queue holds requests that their senders have given up: only the others are answered.
-            is Command.Http -> if (command.request.waits()) answer(command.request)
+            is Command.Http -> if (command.request.isClientWaiting()) answer(command.request)
         }
     }
 
--- a/src/main/kotlin/flaxfield/controller/Readiness.kt
+++ b/src/main/kotlin/flaxfield/controller/Readiness.kt
@@ -1,6 +1,5 @@
 package flaxfield.controller
 
-import flaxfield.NANOS_PER_SECOND
 import flaxfield.peers.PeerGateway
 import flaxfield.settings.Settings
 
@@ -14,19 +13,12 @@
     private val peers: PeerGateway,
     private val reflector: StoreReflector,
 ) {
-    private val storeSilentNs = settings.workers.leaseS * STORE_SILENT_LEASE_SHARE * NANOS_PER_SECOND
-
     /** Whether the process is ready now. */
     fun isReady(): Boolean {
         if (!reflector.hasSynced) return false
-        if (storeContact.silenceNs() <= storeSilentNs) return true
+        if (!storeContact.isSilent(settings.workers.leaseS)) return true
         if (peers.storeReachableElsewhere()) return false
         // Peers that are silent as well tell that this process is cut off, not that all are.
         return settings.peers.isEmpty() || peers.hasRecentPeer()
     }
-
-    private companion object {
-        /** The store is out of reach after this share of a worker's lease without an answer. */
-        const val STORE_SILENT_LEASE_SHARE = 0.25
-    }
 }
--- a/src/main/kotlin/flaxfield/controller/Subsystem.kt
+++ b/src/main/kotlin/flaxfield/controller/Subsystem.kt
@@ -24,6 +24,7 @@
 
 /** Makes the subsystem of one controller. */
 fun interface SubsystemFactory {
+    /** Makes it from the [parts] of its controller. */
     fun create(parts: SubsystemParts): Subsystem
 }
 
--- a/src/main/kotlin/flaxfield/drain/Capacity.kt
+++ b/src/main/kotlin/flaxfield/drain/Capacity.kt
@@ -4,10 +4,13 @@
 
 /** An amount of CPUs and accelerators, the resources that disruption budgets count. */
 data class Capacity(val cpus: Double, val accelerators: Double) {
+    /** The sum of both amounts. */
     operator fun plus(other: Capacity) = Capacity(cpus + other.cpus, accelerators + other.accelerators)
 
+    /** This amount [count] times. */
     operator fun times(count: Int) = Capacity(cpus * count, accelerators * count)
 
+    /** This amount scaled by [factor]. */
     operator fun times(factor: Double) = Capacity(cpus * factor, accelerators * factor)
 
     /** Whether this amount stays within [limit]. */
--- a/src/main/kotlin/flaxfield/drain/OrderWriter.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderWriter.kt
@@ -1,6 +1,5 @@
 package flaxfield.drain
 
-import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
 import flaxfield.store.Change
 import flaxfield.store.Transaction
@@ -20,7 +19,7 @@
         value: Map<String, Any?>,
         done: (OrderResult<Unit>) -> Unit,
     ) {
-        if (seemsUnreachable()) return done(unavailable("the state service does not answer"))
+        if (context.storeContact.isSilent(context.settings.workers.leaseS)) return done(unavailable("the state service does not answer"))
         if (context.transactions.isWritePending(key)) return done(unavailable("$subject is just being changed"))
         val transaction = Transaction(mapOf(key to version), listOf(Change.Put(key, value)))
         val sent = context.transactions.submit(WriteCause.FLEET, transaction) { outcome ->
@@ -37,13 +36,4 @@
     }
 
     private fun unavailable(message: String) = OrderResult.Refused(OrderFault.UNAVAILABLE, message)
-
-    /** Whether the state service has been silent for so long that an order would probably not be written. */
-    private fun seemsUnreachable(): Boolean =
-        context.storeContact.silenceNs() > context.settings.workers.leaseS * UNREACHABLE_LEASE_SHARE * NANOS_PER_SECOND
-
-    private companion object {
-        /** The silence of the state service, as a share of a worker's lease, after which it counts as unreachable. */
-        const val UNREACHABLE_LEASE_SHARE = 0.25
-    }
 }
--- a/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
+++ b/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
@@ -103,9 +103,9 @@
     private fun applyFleetRecord(item: KeyUpdate) {
         try {
             next = withFleetRecord(item)
-        } catch (e: RuntimeException) {
+        } catch (fault: RuntimeException) {
             // A record that can't be decoded must not stop the view: the snapshot goes on without the change.
-            log.error("event=record_unreadable key={} version={} reason=\"{}\"", item.key, item.version, e.toString())
+            log.error("event=record_unreadable key={} version={} reason=\"{}\"", item.key, item.version, fault.toString())
         }
     }
 
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -3,6 +3,7 @@
 import flaxfield.codec.Cbor
 import flaxfield.codec.FieldMap
 import flaxfield.codec.MalformedException
+import flaxfield.net.HttpStatus
 import flaxfield.net.HttpTransport
 
 /** Client of the cloud's API. Callbacks run on the event loop, not on the owner thread. */
@@ -12,7 +13,7 @@
         http.send("GET", "/flavors", null, timeoutMs) { response ->
             done(
                 decodeOr(null) {
-                    if (response?.status == OK) FleetCodec.machineTypes(Cbor.decode(response.body)) else null
+                    if (response?.status == HttpStatus.OK) FleetCodec.machineTypes(Cbor.decode(response.body)) else null
                 },
             )
         }
@@ -33,9 +34,9 @@
             done(
                 decodeOr(RentalResponse.Unclear) {
                     when (response?.status) {
-                        OK -> RentalResponse.Granted(Cbor.decode(response.body).textList("hosts").orEmpty())
-                        UNAVAILABLE -> decodeUnavailable(Cbor.decode(response.body))
-                        BAD_REQUEST -> RentalResponse.Malformed
+                        HttpStatus.OK -> RentalResponse.Granted(Cbor.decode(response.body).textList("hosts").orEmpty())
+                        HttpStatus.SERVICE_UNAVAILABLE -> decodeUnavailable(Cbor.decode(response.body))
+                        HttpStatus.BAD_REQUEST -> RentalResponse.Malformed
                         else -> RentalResponse.Unclear
                     }
                 },
@@ -51,7 +52,7 @@
     /** Returns machines; [done] gets true once they are gone with all that ran on them. */
     fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) {
         http.send("POST", "/machines/return", Cbor.encode(mapOf("hosts" to machineNames)), timeoutMs) {
-            done(it?.status == OK)
+            done(it?.status == HttpStatus.OK)
         }
     }
 
@@ -59,7 +60,7 @@
     fun listMachines(from: String?, done: (MachineListPage?) -> Unit) {
         val start = if (from == null) "" else "from=$from&"
         http.send("GET", "/machines?${start}limit=$PAGE_SIZE", null, timeoutMs) { response ->
-            done(decodeOr(null) { if (response?.status == OK) decodePage(Cbor.decode(response.body)) else null })
+            done(decodeOr(null) { if (response?.status == HttpStatus.OK) decodePage(Cbor.decode(response.body)) else null })
         }
     }
 
@@ -77,9 +78,6 @@
     }
 
     private companion object {
-        const val OK = 200
-        const val BAD_REQUEST = 400
-        const val UNAVAILABLE = 503
         const val PAGE_SIZE = 500
 
         /** The listed phase of a machine that has stopped by itself. */
--- a/src/main/kotlin/flaxfield/fleet/OfferSelector.kt
+++ b/src/main/kotlin/flaxfield/fleet/OfferSelector.kt
@@ -5,11 +5,13 @@
 
 /** Whether tasks of a job may run on machines of this type and kind (spot or on-demand). */
 fun interface MachineKindFilter {
+    /** Whether tasks of [spec] may run on such a machine. */
     operator fun invoke(spec: JobSpec, machineType: String, preemptible: Boolean): Boolean
 }
 
 /** The number of machines per controller of a zone, if it got some more machines. */
 fun interface ZoneLoad {
+    /** The load of [zone] with [additionalMachines] more. */
     operator fun invoke(zone: String, additionalMachines: Int): Double
 }
 
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobLookup.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobLookup.kt
@@ -8,6 +8,7 @@
 
 /** What the store holds of a job that is not in the view. */
 sealed interface FinishedJobResult {
+    /** It is finished. */
     data class Known(val job: FinishedJob) : FinishedJobResult
 
     /** Never accepted. */
--- a/src/main/kotlin/flaxfield/jobs/JobResponse.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobResponse.kt
@@ -2,6 +2,7 @@
 
 import flaxfield.codec.Cbor
 import flaxfield.net.Body
+import flaxfield.net.HttpStatus
 import flaxfield.net.Responder
 
 /** What a user's request is answered with; its wire form is made in [send]. */
@@ -36,26 +37,19 @@
 
 /** The reason of an unavailable response while the state service does not respond. */
 internal const val STORE_SILENT = "the state service does not answer"
-
-private const val STATUS_OK = 200
-private const val STATUS_CREATED = 201
-private const val STATUS_BAD_REQUEST = 400
-private const val STATUS_NOT_FOUND = 404
-private const val STATUS_UNPROCESSABLE = 422
-private const val STATUS_UNAVAILABLE = 503
 private const val RETRY_AFTER_S = 1
 
 /** Sends [response] in its wire form. */
 internal fun Responder.send(response: JobResponse) = when (response) {
-    is JobResponse.Live -> send(STATUS_OK, JobCodec.status(response.job))
-    is JobResponse.Finished -> send(STATUS_OK, JobCodec.status(response.job))
-    is JobResponse.Pending -> send(STATUS_OK, phase(response.id, "pending"))
-    is JobResponse.Accepted -> send(STATUS_CREATED, phase(response.id, "pending"))
-    is JobResponse.Cancelled -> send(STATUS_OK, phase(response.id, if (response.aborted) "aborted" else "done"))
-    is JobResponse.Malformed -> send(STATUS_BAD_REQUEST, error(response.reason))
-    is JobResponse.UnknownJob -> send(STATUS_NOT_FOUND, error("no such job"))
-    is JobResponse.Rejected -> send(STATUS_UNPROCESSABLE, error(response.reason))
-    is JobResponse.Unavailable -> send(STATUS_UNAVAILABLE, error(response.reason), RETRY_AFTER_S)
+    is JobResponse.Live -> send(HttpStatus.OK, JobCodec.status(response.job))
+    is JobResponse.Finished -> send(HttpStatus.OK, JobCodec.status(response.job))
+    is JobResponse.Pending -> send(HttpStatus.OK, phase(response.id, "pending"))
+    is JobResponse.Accepted -> send(HttpStatus.CREATED, phase(response.id, "pending"))
+    is JobResponse.Cancelled -> send(HttpStatus.OK, phase(response.id, if (response.aborted) "aborted" else "done"))
+    is JobResponse.Malformed -> send(HttpStatus.BAD_REQUEST, error(response.reason))
+    is JobResponse.UnknownJob -> send(HttpStatus.NOT_FOUND, error("no such job"))
+    is JobResponse.Rejected -> send(HttpStatus.UNPROCESSABLE_CONTENT, error(response.reason))
+    is JobResponse.Unavailable -> send(HttpStatus.SERVICE_UNAVAILABLE, error(response.reason), RETRY_AFTER_S)
 }
 
 private fun Responder.send(status: Int, message: Map<String, Any?>, retryAfterS: Int? = null) =
--- a/src/main/kotlin/flaxfield/membership/MemberCodec.kt
+++ b/src/main/kotlin/flaxfield/membership/MemberCodec.kt
@@ -4,9 +4,11 @@
 
 /** Stored form of [Member] and [ShardAssignment]. Decoders throw MalformedException. */
 object MemberCodec {
+    /** The stored form of a member, of the leader as well. */
     fun encode(member: Member): Map<String, Any?> =
         mapOf("name" to member.name, "run" to member.incarnation, "zone" to member.zone)
 
+    /** The member that is stored as [fields]. */
     fun member(fields: FieldMap) =
         Member(fields.requireText("name"), fields.requireText("run"), fields.text("zone").orEmpty())
 
--- a/src/main/kotlin/flaxfield/net/HttpServer.kt
+++ b/src/main/kotlin/flaxfield/net/HttpServer.kt
@@ -100,7 +100,7 @@
                 path = if (queryStart < 0) target else target.substring(0, queryStart),
                 query = if (queryStart < 0) "" else target.substring(queryStart + 1),
                 body = ByteBufUtil.getBytes(message.content()),
-                waits = { channel.isActive },
+                isClientWaiting = { channel.isActive },
                 responder = responder,
             )
         }
--- a/src/main/kotlin/flaxfield/net/Request.kt
+++ b/src/main/kotlin/flaxfield/net/Request.kt
@@ -8,6 +8,6 @@
     val query: String,
     val body: ByteArray,
     /** Whether the client still waits: a request whose connection is closed needs no answer, nor the work for one. */
-    val waits: () -> Boolean = { true },
+    val isClientWaiting: () -> Boolean = { true },
     val responder: Responder,
 )
--- a/src/main/kotlin/flaxfield/operator/CallExecutor.kt
+++ b/src/main/kotlin/flaxfield/operator/CallExecutor.kt
@@ -51,8 +51,8 @@
             block()
         } catch (e: StatusRuntimeException) {
             observer.onError(e)
-        } catch (e: RuntimeException) {
-            log.error("event=call_failed", e)
+        } catch (fault: RuntimeException) {
+            log.error("event=call_failed", fault)
             observer.onError(CallStatus.internal("internal fault, see the node's log"))
         } finally {
             permits.release()
--- a/src/main/kotlin/flaxfield/operator/FleetFile.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetFile.kt
@@ -7,4 +7,5 @@
 data class FleetFile(val listen: Address, val config: FleetConfig)
 
 /** A fleet file that is invalid: each of [faults] is one line. */
-class FleetFileException(val faults: List<String>) : Exception(faults.joinToString("\n"))
+class FleetFileException(val faults: List<String>, cause: Throwable? = null) :
+    Exception(faults.joinToString("\n"), cause)
--- a/src/main/kotlin/flaxfield/operator/FleetFiles.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetFiles.kt
@@ -28,7 +28,7 @@
         val text = try {
             File(path).readText()
         } catch (e: IOException) {
-            throw FleetFileException(listOf("fleet file $path: ${e.message}"))
+            throw FleetFileException(listOf("fleet file $path: ${e.message}"), e)
         }
         return parse(text, settings) { "fleet file $path: $it" }
     }
@@ -38,14 +38,14 @@
         val root = try {
             mapper.readTree(text)
         } catch (e: JsonProcessingException) {
-            throw FleetFileException(listOf(describe("not JSON: ${e.originalMessage}")))
+            throw FleetFileException(listOf(describe("not JSON: ${e.originalMessage}")), e)
         }
         val faults = schema().validate(root).map { it.message } + unknownNames(root, settings)
         if (faults.isNotEmpty()) throw FleetFileException(faults.map(describe))
         return try {
             read(root)
         } catch (e: MalformedException) {
-            throw FleetFileException(listOf(describe("$.listen: ${e.message}")))
+            throw FleetFileException(listOf(describe("$.listen: ${e.message}")), e)
         }
     }
 
--- a/src/main/kotlin/flaxfield/peers/PeerClient.kt
+++ b/src/main/kotlin/flaxfield/peers/PeerClient.kt
@@ -14,6 +14,7 @@
 
 /** Sends messages to one peer; delivery is not guaranteed. */
 fun interface PeerConnection {
+    /** Sends [message], or drops it. */
     fun send(message: PeerMessage)
 }
 
--- a/src/main/kotlin/flaxfield/peers/PeerFrameHandler.kt
+++ b/src/main/kotlin/flaxfield/peers/PeerFrameHandler.kt
@@ -27,7 +27,7 @@
                 val next = PeerFrames.next(input) ?: return
                 onMessage(next) { response -> ctx.writeAndFlush(Unpooled.wrappedBuffer(PeerFrames.encode(response))) }
             }
-        } catch (e: MalformedException) {
+        } catch (malformed: MalformedException) {
             // What follows a malformed frame can't be read either. The peer connects again.
             ctx.close()
         }
--- a/src/main/kotlin/flaxfield/settings/OperatorSettings.kt
+++ b/src/main/kotlin/flaxfield/settings/OperatorSettings.kt
@@ -27,9 +27,9 @@
             try {
                 File(path).inputStream().use { properties.load(it) }
             } catch (e: IOException) {
-                throw MalformedException("properties file $path: ${e.message}")
+                throw MalformedException("properties file $path: ${e.message}", e)
             } catch (e: IllegalArgumentException) {
-                throw MalformedException("properties file $path: ${e.message}")
+                throw MalformedException("properties file $path: ${e.message}", e)
             }
             return of(properties.stringPropertyNames().associateWith { properties.getProperty(it).trim() })
         }
--- a/src/main/kotlin/flaxfield/settings/Settings.kt
+++ b/src/main/kotlin/flaxfield/settings/Settings.kt
@@ -56,12 +56,12 @@
             val bytes = try {
                 File(path).readBytes()
             } catch (e: IOException) {
-                throw MalformedException("settings file $path: ${e.message}")
+                throw MalformedException("settings file $path: ${e.message}", e)
             }
             try {
                 return of(Json.decode(bytes))
             } catch (e: MalformedException) {
-                throw MalformedException("settings file $path: ${e.message}")
+                throw MalformedException("settings file $path: ${e.message}", e)
             }
         }
 
--- a/src/main/kotlin/flaxfield/store/LeaseResult.kt
+++ b/src/main/kotlin/flaxfield/store/LeaseResult.kt
@@ -2,6 +2,7 @@
 
 /** The answer to the request for a new lease. */
 sealed interface LeaseGrantResult {
+    /** The new lease. */
     data class Granted(val lease: ULong) : LeaseGrantResult
 
     /** No answer, one that can't be read, or an error: a lease may have been granted all the same. */
--- a/src/main/kotlin/flaxfield/store/ReadResult.kt
+++ b/src/main/kotlin/flaxfield/store/ReadResult.kt
@@ -4,6 +4,7 @@
 
 /** The answer to the read of one key. */
 sealed interface ReadResult {
+    /** The key's value. */
     data class Found(val value: FieldMap) : ReadResult
 
     /** There is no such key as of [revision]. */
--- a/src/main/kotlin/flaxfield/workers/HeartbeatResponder.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatResponder.kt
@@ -4,6 +4,7 @@
 import flaxfield.codec.Cbor
 import flaxfield.controller.ControllerContext
 import flaxfield.net.Body
+import flaxfield.net.HttpStatus
 import flaxfield.net.Responder
 import org.slf4j.LoggerFactory
 
@@ -59,22 +60,22 @@
             return unavailable("cancelled tasks go on", responder)
         }
         val body = if (commands.isEmpty()) bodyWithoutCommands(fencingToken) else encode(fencingToken, commands)
-        responder.send(STATUS_OK, body, null)
+        responder.send(HttpStatus.OK, body, null)
     }
 
     /** Sends the worker to [owner]; null names no owner. */
     fun redirect(owner: String?, responder: Responder) =
-        responder.send(STATUS_MISDIRECTED, Body(Cbor.encode(mapOf("steward" to owner)), Body.CBOR), null)
+        responder.send(HttpStatus.MISDIRECTED_REQUEST, Body(Cbor.encode(mapOf("steward" to owner)), Body.CBOR), null)
 
     /** Sends the worker away without naming an owner: it tries the other controllers. */
     fun redirectAnywhere(responder: Responder) =
-        responder.send(STATUS_MISDIRECTED, Body(Cbor.encode(emptyMap()), Body.CBOR), null)
+        responder.send(HttpStatus.MISDIRECTED_REQUEST, Body(Cbor.encode(emptyMap()), Body.CBOR), null)
 
     /** Rejects a heartbeat that could not be decoded, for the given [reason]. */
-    fun malformed(reason: String, responder: Responder) = responder.send(STATUS_BAD_REQUEST, error(reason), null)
+    fun malformed(reason: String, responder: Responder) = responder.send(HttpStatus.BAD_REQUEST, error(reason), null)
 
     private fun unavailable(reason: String, responder: Responder) =
-        responder.send(STATUS_UNAVAILABLE, error(reason), RETRY_AFTER_S)
+        responder.send(HttpStatus.SERVICE_UNAVAILABLE, error(reason), RETRY_AFTER_S)
 
     private fun encode(fencingToken: ULong, commands: List<WorkerCommand>) =
         Body(Cbor.encode(HeartbeatCodec.encode(fencingToken, commands)), Body.CBOR)
@@ -99,9 +100,5 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.workers")
         const val RETRY_AFTER_S = 1
-        const val STATUS_OK = 200
-        const val STATUS_BAD_REQUEST = 400
-        const val STATUS_MISDIRECTED = 421
-        const val STATUS_UNAVAILABLE = 503
     }
 }
--- a/src/test/kotlin/flaxfield/golden/CloudProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/CloudProtocol.kt
@@ -60,20 +60,15 @@
 
     private fun rent(client: CloudClient, done: (RentalResponse) -> Unit) = client.rent(StoredSamples.rental, done)
 
-    private fun answer(
-        name: String,
-        status: Int,
-        wire: Map<String, Any?>,
-        expected: Any,
-        ask: (CloudClient, (Any?) -> Unit) -> Unit,
-    ) = GoldenCase("answer-$name.decode-only.hex", { cborHex(wire) }) { fixture ->
-        var read: Any? = null
-        ask(CloudClient(RecordingCalls.answering(status, HexText.bytes(fixture)), ControllerSample.TIMEOUT_MS)) {
-            read =
-                it
+    private fun answer(name: String, status: Int, wire: Map<String, Any?>, expected: Any, ask: (CloudClient, (Any?) -> Unit) -> Unit) =
+        GoldenCase("answer-$name.decode-only.hex", { cborHex(wire) }) { fixture ->
+            var read: Any? = null
+            ask(CloudClient(RecordingCalls.answering(status, HexText.bytes(fixture)), ControllerSample.TIMEOUT_MS)) {
+                read =
+                    it
+            }
+            assertEquals(expected, read)
         }
-        assertEquals(expected, read)
-    }
 
     val suite = GoldenSuite("cloud", requests + answers)
 }
--- a/src/test/kotlin/flaxfield/golden/GoldenCase.kt
+++ b/src/test/kotlin/flaxfield/golden/GoldenCase.kt
@@ -30,15 +30,13 @@
     private const val LINE_CHARACTERS = 96
 
     /** The text of [bytes]. */
-    fun of(bytes: ByteArray): String =
-        bytes.joinToString("") { "%02x".format(it) }.chunked(LINE_CHARACTERS).joinToString("") {
-            it +
-                "\n"
-        }
+    fun of(bytes: ByteArray): String = bytes.joinToString("") { "%02x".format(it) }.chunked(LINE_CHARACTERS).joinToString("") {
+        it +
+            "\n"
+    }
 
     /** The bytes that [text] stands for. */
-    fun bytes(text: String): ByteArray =
-        text.filterNot { it.isWhitespace() }.chunked(2).map { it.toInt(radix = 16).toByte() }.toByteArray()
+    fun bytes(text: String): ByteArray = text.filterNot { it.isWhitespace() }.chunked(2).map { it.toInt(radix = 16).toByte() }.toByteArray()
 }
 
 /** A map in CBOR, as the production code writes it. */
--- a/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
+++ b/src/test/kotlin/flaxfield/golden/OperatorMessages.kt
@@ -40,18 +40,17 @@
     )
 
     /** Each message as a block of bytes; read back, it must be the very message. */
-    private fun proto(name: String, make: () -> List<MessageLite>) =
-        GoldenCase("$name.hex", { hex(make()) }) { fixture ->
-            val expected = make()
-            val blocks = fixture.split(SEPARATOR).dropLast(1)
-            assertEquals(
-                expected,
-                blocks.mapIndexed { i, block ->
-                    expected[i].parserForType.parseFrom(HexText.bytes(block))
-                },
-            )
-            assertEquals(fixture, hex(expected))
-        }
+    private fun proto(name: String, make: () -> List<MessageLite>) = GoldenCase("$name.hex", { hex(make()) }) { fixture ->
+        val expected = make()
+        val blocks = fixture.split(SEPARATOR).dropLast(1)
+        assertEquals(
+            expected,
+            blocks.mapIndexed { i, block ->
+                expected[i].parserForType.parseFrom(HexText.bytes(block))
+            },
+        )
+        assertEquals(fixture, hex(expected))
+    }
 
     private fun hex(messages: List<MessageLite>) = messages.joinToString("") {
         HexText.of(it.toByteArray()) + SEPARATOR
--- a/src/test/kotlin/flaxfield/golden/ReportAnswers.kt
+++ b/src/test/kotlin/flaxfield/golden/ReportAnswers.kt
@@ -17,10 +17,9 @@
     /**
      * The answers to a worker of the other member's zone: it hears the term first, and is sent to its owner after that.
      */
-    fun redirected(): String =
-        answers(listOf(heartbeat(fencingToken = 3uL), heartbeat(fencingToken = StoredSamples.VERSION))) {
-            it.assign()
-        }
+    fun redirected(): String = answers(listOf(heartbeat(fencingToken = 3uL), heartbeat(fencingToken = StoredSamples.VERSION))) {
+        it.assign()
+    }
 
     /** The answer while no assignment is known. */
     fun withoutAssignment(): String = answers(listOf(heartbeat(fencingToken = 0uL))) {}
--- a/src/test/kotlin/flaxfield/golden/StateServiceProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/StateServiceProtocol.kt
@@ -114,18 +114,13 @@
 
     private fun item(key: String) = KeyUpdate(key, flaxfield.codec.FieldMap(value), large)
 
-    private fun answer(
-        name: String,
-        status: Int,
-        wire: Map<String, Any?>,
-        expected: Any,
-        ask: (StoreClient, (Any?) -> Unit) -> Unit,
-    ) = GoldenCase("answer-$name.decode-only.hex", { cborHex(wire) }) { fixture ->
-        val calls: HttpTransport = RecordingCalls.answering(status, HexText.bytes(fixture))
-        var read: Any? = null
-        ask(StoreClient(calls, calls, ControllerSample.TIMEOUT_MS)) { read = it }
-        assertEquals(expected, read)
-    }
+    private fun answer(name: String, status: Int, wire: Map<String, Any?>, expected: Any, ask: (StoreClient, (Any?) -> Unit) -> Unit) =
+        GoldenCase("answer-$name.decode-only.hex", { cborHex(wire) }) { fixture ->
+            val calls: HttpTransport = RecordingCalls.answering(status, HexText.bytes(fixture))
+            var read: Any? = null
+            ask(StoreClient(calls, calls, ControllerSample.TIMEOUT_MS)) { read = it }
+            assertEquals(expected, read)
+        }
 
     val suite = GoldenSuite("state", requests + answers)
 }
--- a/src/test/kotlin/flaxfield/golden/StoredSamples.kt
+++ b/src/test/kotlin/flaxfield/golden/StoredSamples.kt
@@ -1,9 +1,8 @@
 package flaxfield.golden
 
-import flaxfield.jobs.TaskId
 import flaxfield.Samples
-import flaxfield.arrays.MachineStatus
 import flaxfield.arrays.MachineHealth
+import flaxfield.arrays.MachineStatus
 import flaxfield.arrays.ShardSummary
 import flaxfield.drain.BudgetLimit
 import flaxfield.drain.Capacity
@@ -14,20 +13,21 @@
 import flaxfield.drain.Ledger
 import flaxfield.drain.RepeatPolicy
 import flaxfield.drain.Selector
-import flaxfield.fleet.MachineReservation
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
+import flaxfield.fleet.MachineReservation
 import flaxfield.fleet.MachineType
 import flaxfield.fleet.Rental
-import flaxfield.jobs.JobChunk
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobChunk
+import flaxfield.jobs.JobKind
 import flaxfield.jobs.JobSpec
 import flaxfield.jobs.Placement
 import flaxfield.jobs.Priority
 import flaxfield.jobs.Resources
-import flaxfield.jobs.JobKind
-import flaxfield.membership.ShardAssignment
+import flaxfield.jobs.TaskId
 import flaxfield.membership.Member
+import flaxfield.membership.ShardAssignment
 import java.util.BitSet
 
 /** Values of all stored records, with every field set somewhere. */
@@ -41,7 +41,13 @@
     val plainSpec = Samples.spec()
 
     val fullSpec = JobSpec(
-        "job-42", "train", "blue", JobKind.GANG, Priority.PROD, 3, Resources(3.5, 2.0, 12.25), "img-ü", 6.5, setOf("big", "small"), "zone-a",
+        "job-42", "train", "blue", JobKind.GANG, Priority.PROD, 3,
+        Resources(
+            3.5,
+            2.0,
+            12.25,
+        ),
+        "img-ü", 6.5, setOf("big", "small"), "zone-a",
         sameZone = true, spreadAcrossZones = true, preemptible = false, expectedRuntimeS = 600.5,
         checkpointIntervalS = 30.0, checkpointDurationS = 4.5, deadlineS = 3600.0,
     )
--- a/src/test/kotlin/flaxfield/golden/UserProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/UserProtocol.kt
@@ -2,8 +2,8 @@
 
 import flaxfield.Samples
 import flaxfield.Samples.on
-import flaxfield.codec.MalformedException
 import flaxfield.codec.Cbor
+import flaxfield.codec.MalformedException
 import flaxfield.fleet.FleetCodec
 import flaxfield.golden.GoldenCases.encodeOnly
 import flaxfield.golden.GoldenCases.record
--- a/src/test/kotlin/flaxfield/jobs/JobCodecTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/JobCodecTest.kt
@@ -49,6 +49,5 @@
         }
     }
 
-    private fun decode(submission: Map<String, Any?>): JobSpec =
-        JobCodec.decodeSpec(Cbor.decode(Cbor.encode(submission)))
+    private fun decode(submission: Map<String, Any?>): JobSpec = JobCodec.decodeSpec(Cbor.decode(Cbor.encode(submission)))
 }
--- a/src/test/kotlin/flaxfield/jobs/JobResponseTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/JobResponseTest.kt
@@ -10,12 +10,7 @@
 import org.junit.jupiter.api.Test
 
 class JobResponseTest {
-    private class Row(
-        val response: JobResponse,
-        val status: Int,
-        val message: Map<String, Any?>,
-        val retryS: Int? = null,
-    )
+    private class Row(val response: JobResponse, val status: Int, val message: Map<String, Any?>, val retryS: Int? = null)
 
     private fun status(phase: String, done: Int, running: Int) =
         mapOf("id" to "job-1", "phase" to phase, "done" to done, "running" to running)
--- a/src/test/kotlin/flaxfield/jobs/JobTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/JobTest.kt
@@ -37,8 +37,7 @@
 
     @Test
     fun `a job that fails everywhere and completes nothing is taken for a mistake`() {
-        fun failed(job: Job, machines: Int, times: Int) =
-            job.copy(failedMachines = List(machines) { "host-$it" }, failureCount = times)
+        fun failed(job: Job, machines: Int, times: Int) = job.copy(failedMachines = List(machines) { "host-$it" }, failureCount = times)
         val job = Samples.job()
         val table = listOf(
             job to false,
--- a/src/test/kotlin/flaxfield/net/ConnectionLimitsTest.kt
+++ b/src/test/kotlin/flaxfield/net/ConnectionLimitsTest.kt
@@ -18,8 +18,7 @@
     private fun worker(name: String, now: Long = 0) =
         connections.opened(name, now) && connections.requestReceived(name, isUser = false, now)
 
-    private fun user(name: String, now: Long = 0) =
-        connections.opened(name, now) && connections.requestReceived(name, isUser = true, now)
+    private fun user(name: String, now: Long = 0) = connections.opened(name, now) && connections.requestReceived(name, isUser = true, now)
 
     @Test
     fun `shares of the smallest and the largest limits leave room for a worker each and for ourselves`() {
