--- a/src/test/kotlin/flaxfield/sim/InvariantChecker.kt
+++ b/src/test/kotlin/flaxfield/sim/InvariantChecker.kt
@@ -124,10 +124,12 @@
     }
 
     fun taskCompleted(id: String, task: Int) {
-        val completed = completedTasks.getOrPut(id) { HashSet() }
-        if (completed.add(task) && completed.size == specs[id]?.taskCount) onComplete(id)
+        val isNew = completedTasks.getOrPut(id) { HashSet() }.add(task)
+        if (isNew && completedCount(id) == specs[id]?.taskCount) onComplete(id)
     }
 
+    private fun completedCount(id: String): Int = completedTasks[id]?.size ?: 0
+
     /** The answer to a submission that can't run or lacks a field, or to another invalid request. */
     fun invalidRequestAnswered(request: String, status: Int, allowed: Set<Int>) {
         if (status !in allowed) violated("accepted_odd", "$request got $status")
@@ -148,8 +150,7 @@
         }
         if (before in FINAL_PHASES && phase != before) violated("went_back", "$id was $before, is $phase")
         if (phase == ABORTED && id !in cancelRequests) violated("went_back", "$id is aborted without its user")
-        val completed = completedTasks[id]?.size ?: 0
-        if (phase == DONE && completed < spec.taskCount) violated("not_done", "$id is called done")
+        if (phase == DONE && completedCount(id) < spec.taskCount) violated("not_done", "$id is called done")
         if (phase == ABORTED) cancelledAt.putIfAbsent(id, nowS)
         // An answer that was under way when a final phase was told does not take it back.
         if (reportedPhases[id] !in FINAL_PHASES) reportedPhases[id] = phase
@@ -169,11 +170,8 @@
         val runningJobs = running.keys.mapTo(HashSet()) { it.jobId }
         for (id in acceptedAt.keys) {
             val spec = specs[id] ?: continue
-            val waits = reportedPhases[id] !in FINAL_PHASES &&
-                id !in cancelRequests &&
-                id !in failingJobs &&
-                id !in runningJobs
-            if (!waits || !mayRun(spec, machines)) {
+            val mayEnd = reportedPhases[id] in FINAL_PHASES || id in cancelRequests || id in failingJobs
+            if (mayEnd || id in runningJobs || !mayRun(spec, machines)) {
                 waitingSince.remove(id)
                 continue
             }
@@ -200,7 +198,7 @@
 
     private fun gpuLimit(team: String) = gpuLimits[team] ?: Double.MAX_VALUE
 
-    /** An accepted job whose user got no answer for long, though there are no faults any more, is forgotten. */
+    /** Without faults, no accepted job goes without an answer for long. */
     fun checkAnswered(nowS: Double) {
         for ((id, at) in answeredAt) {
             if (reportedPhases[id] in FINAL_PHASES || nowS - at <= MAX_UNANSWERED_S) continue
--- a/src/test/kotlin/flaxfield/sim/SimProcessor.kt
+++ b/src/test/kotlin/flaxfield/sim/SimProcessor.kt
@@ -15,8 +15,8 @@
 
 /**
  * The processor of one controller. While it is [slow], each piece of work takes its time and later ones queue, so that
- * the controller acts on old information, as one does that lacks processor time. Requests beyond a bound are refused, as
- * by the first stage of a real controller.
+ * the controller acts on old information, as one does that lacks processor time. Requests beyond a bound are refused,
+ * as by the first stage of a real controller.
  */
 class SimProcessor(private val loop: SimLoop) {
     var slow = false
--- a/src/test/kotlin/flaxfield/sim/UserLoad.kt
+++ b/src/test/kotlin/flaxfield/sim/UserLoad.kt
@@ -99,7 +99,8 @@
         /** Fields of a submission, as the wire has them, that may not be null. */
         val REQUIRED_FIELDS = listOf(
             "id", "jobclass", "owner", "shape", "urgency", "shards", "vcpus", "accelerators",
-            "ram_gb", "same_place", "scatter", "lendable", "bundle", "pull_gb", "expect_s", "snapshot_every_s", "snapshot_s",
+            "ram_gb", "same_place", "scatter", "lendable", "bundle", "pull_gb", "expect_s", "snapshot_every_s",
+            "snapshot_s",
         )
     }
 }
