--- a/src/test/kotlin/flaxfield/drain/CapacityChecker.kt
+++ b/src/test/kotlin/flaxfield/drain/CapacityChecker.kt
@@ -4,10 +4,10 @@
 import flaxfield.sim.TaskWatcher
 
 /**
- * Counts what teams really lack on the workers, apart from all records: tasks that once ran, are not through, and do
- * not run now. Where nothing but drains takes tasks away, no team may ever lack more than its budget. Where other
- * things do, what drains alone have taken may not: tasks that were told to stop with time to save, and do not run again
- * yet.
+ * Counts what teams really lack on the workers, apart from all records: tasks that once ran, have not completed and do
+ * not run now. Where nothing but drains stops tasks, no team may ever lack more than its budget. Where other things do,
+ * that holds for what drains alone have taken: tasks that were told to stop with time to save a checkpoint, and do not
+ * run again yet.
  */
 class CapacityChecker(
     private val now: () -> Double,
@@ -35,36 +35,32 @@
 
     override fun runs(spec: JobSpec, index: Int) {
         running += name(spec, index)
-        back(spec, index)
+        available(spec, index)
     }
 
     override fun halted(spec: JobSpec, index: Int, gracePeriodS: Double) {
         if (!cancelled(spec.id)) halts.merge(spec.id, 1, Int::plus)
         // A gang that has lost a member is stopped by others than drains.
-        val mates = lacking.filterValues { it.id == spec.id }.keys
-        if (gracePeriodS > 0.0 &&
-            name(spec, index) in running &&
-            mates.all { it in planned }
-        ) {
-            planned += name(spec, index)
-        }
-        lost(spec, index)
+        val lackingMembers = lacking.filterValues { it.id == spec.id }.keys
+        val isPlanned = gracePeriodS > 0.0 && name(spec, index) in running && lackingMembers.all { it in planned }
+        if (isPlanned) planned += name(spec, index)
+        unavailable(spec, index)
         onHalt()
     }
 
-    override fun left(spec: JobSpec, index: Int) = lost(spec, index)
+    override fun left(spec: JobSpec, index: Int) = unavailable(spec, index)
 
     override fun done(spec: JobSpec, index: Int) {
         running -= name(spec, index)
-        back(spec, index)
+        available(spec, index)
     }
 
-    private fun back(spec: JobSpec, index: Int) {
+    private fun available(spec: JobSpec, index: Int) {
         lacking.remove(name(spec, index))
         planned -= name(spec, index)
     }
 
-    private fun lost(spec: JobSpec, index: Int) {
+    private fun unavailable(spec: JobSpec, index: Int) {
         if (!running.remove(name(spec, index)) || cancelled(spec.id)) return
         lacking[name(spec, index)] = spec
         recount(spec.team)
@@ -79,13 +75,12 @@
         if (sum.above(allowed)) violations += "${now()}: $team lacks $sum of $allowed: ${all.keys}"
         val taken = all.filterKeys { it in planned }
         if (sum(taken.values).above(allowed)) {
-            overcharged +=
-                "${now()}: drains took ${sum(taken.values)} of $allowed from $team: ${taken.keys}"
+            overcharged += "${now()}: drains took ${sum(taken.values)} of $allowed from $team: ${taken.keys}"
         }
     }
 
-    private fun sum(specs: Collection<JobSpec>) = specs.fold(Amount.NONE) { a, s ->
-        a + Amount(s.taskResources.cpus, s.taskResources.gpus)
+    private fun sum(specs: Collection<JobSpec>) = specs.fold(Amount.NONE) { sum, spec ->
+        sum + Amount(spec.taskResources.cpus, spec.taskResources.gpus)
     }
 
     private fun name(spec: JobSpec, index: Int) = "${spec.id}/$index"
--- a/src/test/kotlin/flaxfield/drain/DrainDay.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainDay.kt
@@ -12,7 +12,7 @@
 import flaxfield.sim.SimLoop
 import flaxfield.sim.SimUser
 
-/** How a day's drains and budgets are. */
+/** How a simulation with drains is set up. */
 data class DayPlan(
     val seed: Int,
     val faults: String = "quiet",
@@ -48,23 +48,23 @@
         cluster.store.onCommit = { records.check() }
         cluster.invariants.watcher = workers
         for (i in cluster.controllerNames.indices) loop.after(i * 150 * SimLoop.MS) { cluster.boot(i) }
-        for ((n, u) in users.withIndex()) loop.after((2_000 + 150L * n) * SimLoop.MS, u::submit)
+        for ((n, user) in users.withIndex()) loop.after((2_000 + 150L * n) * SimLoop.MS, user::submit)
         FaultInjector(cluster, users).inject(plan.faults)
     }
 
     fun at(seconds: Double, block: () -> Unit) = loop.after((seconds * SimLoop.SECOND).toLong(), block)
 
     /** Orders something of the controllers, one after another, until one records it or refuses it for good. */
-    fun order(order: DrainOrder, node: Int = 0) {
+    fun order(order: DrainOrder, controller: Int = 0) {
         var answered = false
-        cluster.order(node % cluster.controllerNames.size, order) { result ->
+        cluster.order(controller % cluster.controllerNames.size, order) { result ->
             answered = true
             answers += result
-            val again =
+            val mayRetry =
                 result is OrderResult.Refused && result.fault in setOf(OrderFault.UNAVAILABLE, OrderFault.UNKNOWN)
-            if (again) at(1.0) { order(order, node + 1) }
+            if (mayRetry) at(1.0) { order(order, controller + 1) }
         }
-        at(2.0) { if (!answered) order(order, node + 1) }
+        at(2.0) { if (!answered) order(order, controller + 1) }
     }
 
     /** What is recorded of a drain. */
@@ -120,7 +120,7 @@
                 taskCount = if (gang) 2 else 3,
                 priority = Priority.STANDARD,
                 team = TEAMS[n % 3],
-                taskResources = if (gang) Resources(4.0, 1.0, 16.0) else Resources(4.0, 1.0, 16.0),
+                taskResources = Resources(4.0, 1.0, 16.0),
                 preemptible = false,
                 checkpointIntervalS = 5.0,
             ).copy(expectedRuntimeS = 150.0 + 5 * (n % 7), checkpointDurationS = 1.0, imageGb = 1.0)
--- a/src/test/kotlin/flaxfield/sim/MeetingsTest.kt
+++ b/src/test/kotlin/flaxfield/sim/MeetingsTest.kt
@@ -85,8 +85,7 @@
         "135, taken+cancelcut", "136, odd", "137, odd+swarm+handover", "138, longoutage+cancelhang",
         "139, blink+fornext+silent+looks",
     )
-    fun `no rule breaks where troubles meet`(seed: Int, kind: String) =
-        run(kind, SimCluster(seed, machinesPerZone = 4))
+    fun `no rule breaks where troubles meet`(seed: Int, kind: String) = run(kind, SimCluster(seed, machinesPerZone = 4))
 
     /**
      * The same where the controllers lack processor time: they are late, act on old information, and refuse what they
--- a/src/test/kotlin/flaxfield/sim/SimulationTest.kt
+++ b/src/test/kotlin/flaxfield/sim/SimulationTest.kt
@@ -1,10 +1,10 @@
 package flaxfield.sim
 
 import flaxfield.Samples
+import flaxfield.jobs.JobKind
 import flaxfield.jobs.JobSpec
 import flaxfield.jobs.Priority
 import flaxfield.jobs.Resources
-import flaxfield.jobs.JobKind
 import flaxfield.settings.StateLimits
 import flaxfield.store.StoreKeys
 import org.junit.jupiter.api.Assertions.assertEquals
--- a/src/test/kotlin/flaxfield/zones/ZoneDay.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneDay.kt
@@ -4,6 +4,7 @@
 import flaxfield.drain.BudgetLimit
 import flaxfield.drain.DrainOrder
 import flaxfield.drain.FleetConfig
+import flaxfield.drain.OrderResult
 import flaxfield.drain.RepeatPolicy
 import flaxfield.jobs.JobSpec
 import flaxfield.jobs.Priority
@@ -19,7 +20,7 @@
 import flaxfield.sim.SimUser
 import flaxfield.store.StoreKeys
 
-/** How a day of a zone's loss is. */
+/** How a simulated loss of a zone is set up. */
 data class ZonePlan(
     val seed: Int,
     /** Where the three controllers are. */
@@ -59,7 +60,7 @@
         cluster.cloud.onReturn = checker::returned
         cluster.store.onCommit = { noteState() }
         for (i in cluster.controllerNames.indices) loop.after(i * 150 * SimLoop.MS) { cluster.boot(i) }
-        for ((n, u) in users.withIndex()) loop.after((2_000 + 100L * n) * SimLoop.MS, u::submit)
+        for ((n, user) in users.withIndex()) loop.after((2_000 + 100L * n) * SimLoop.MS, user::submit)
     }
 
     private fun noteState() {
@@ -87,39 +88,39 @@
     fun gone(atS: Double) = at(atS) {
         checker.lost()
         cluster.network.zoneCut = LOST_ZONE
-        for (w in cluster.cloud.workers.values) if (w.machine.zone == LOST_ZONE) w.terminate()
+        for (worker in cluster.cloud.workers.values) if (worker.machine.zone == LOST_ZONE) worker.terminate()
     }
 
     /** Orders to give up on [jobClass] at one controller after another, until one records it. */
-    fun abandon(jobClass: String, node: Int = 0) {
+    fun abandon(jobClass: String, controller: Int = 0) {
         var answered = false
-        cluster.fleetControls[node % cluster.controllerNames.size]?.abandon(LOST_ZONE, jobClass) { result ->
-            answered = result is flaxfield.drain.OrderResult.Recorded
+        cluster.fleetControls[controller % cluster.controllerNames.size]?.abandon(LOST_ZONE, jobClass) { result ->
+            answered = result is OrderResult.Recorded
         }
-        at(2.0) { if (!answered) abandon(jobClass, node + 1) }
+        at(2.0) { if (!answered) abandon(jobClass, controller + 1) }
     }
 
     /** What operators are told of the zone, by the controller that has seen most. */
     fun answer(): Zone = ZoneResponses(snapshot(), teams).zones().first { it.name == LOST_ZONE }
 
-    /** Why the jobs of [jobClass] wait, in a word. */
-    fun reasons(jobClass: String): Set<String> = snapshot().let { s ->
-        s.jobs.values.filter {
-            it.spec.jobClass == jobClass
-        }.mapTo(sortedSetOf()) { JobExplainer(s, teams).explain(it).reason }
+    /** The reasons why the jobs of [jobClass] wait, as operators are told them. */
+    fun reasons(jobClass: String): Set<String> {
+        val snapshot = snapshot()
+        return snapshot.jobs.values.filter { it.spec.jobClass == jobClass }
+            .mapTo(sortedSetOf()) { JobExplainer(snapshot, teams).explain(it).reason }
     }
 
     private val teams = TEAMS.associateWith { Samples.team(it, gpus = 12.0) }
 
     private fun snapshot() = cluster.fleetControls.filterNotNull().map { it.publisher.current }.maxBy { it.revision }
 
-    fun drain(order: DrainOrder, node: Int = 0) {
+    fun drain(order: DrainOrder, controller: Int = 0) {
         var answered = false
-        cluster.order(node % cluster.controllerNames.size, order) {
+        cluster.order(controller % cluster.controllerNames.size, order) {
             answered =
-                it is flaxfield.drain.OrderResult.Recorded
+                it is OrderResult.Recorded
         }
-        at(2.0) { if (!answered) drain(order, node + 1) }
+        at(2.0) { if (!answered) drain(order, controller + 1) }
     }
 
     private var watching = false
@@ -142,10 +143,10 @@
     companion object {
         const val LOST_ZONE = "c"
 
-        /** Cheap machines of each zone, so that two zones hold all the work, */
+        /** Machines of each kind in each zone, so that two zones hold all the work. */
         const val ROOMY = 14
 
-        /** and so that they do not. */
+        /** The same, so that two zones do not hold all the work. */
         const val SCARCE = 8
         const val QUIET_FROM_S = 200.0
         val TEAMS = listOf("red", "blue", "green", "grey")
@@ -182,13 +183,7 @@
                 taskResources = Resources(4.0, 1.0, 16.0),
                 checkpointIntervalS = 0.0,
             ).copy(
-                expectedRuntimeS = if (jobClass ==
-                    "deed"
-                ) {
-                    deedS
-                } else {
-                    150.0 + 4 * (n % 8)
-                },
+                expectedRuntimeS = if (jobClass == "deed") deedS else 150.0 + 4 * (n % 8),
                 checkpointDurationS = 0.0,
                 imageGb = 1.0,
             )
