--- a/src/test/kotlin/flaxfield/drain/RecordChecker.kt
+++ b/src/test/kotlin/flaxfield/drain/RecordChecker.kt
@@ -20,18 +20,8 @@
  * the planner. A transaction that stops tasks on a cordoned machine is a step: it must charge each of them to the
  * ledger, and no team may then lack more than its budget.
  */
-class RecordChecker(
-    private val store: SimStore,
-    private val now: () -> Double,
-    private val budget: (String, Amount) -> Amount,
-) {
-    private class Task(
-        val team: String,
-        val size: Amount,
-        val machineName: String?,
-        val stopping: Boolean,
-        val lost: Boolean,
-    )
+class RecordChecker(private val store: SimStore, private val now: () -> Double, private val budget: (String, Amount) -> Amount) {
+    private class Task(val team: String, val size: Amount, val machineName: String?, val stopping: Boolean, val lost: Boolean)
 
     /** What broke a rule of the records: when, whom and how. */
     val violations = ArrayList<String>()
