--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -1,13 +1,13 @@
 package flaxfield.arrays
 
+import flaxfield.controller.ControllerContext
 import flaxfield.fleet.MachinePhase
-import flaxfield.node.NodeContext
 import flaxfield.quota.JobOrder
-import flaxfield.store.OnHost
+import flaxfield.store.PlacedTask
 import flaxfield.workers.HaltDispatcher
 
 /** Clears machines of this node's part: those that are to be returned, and those claimed for more urgent gangs. */
-class MachineDrainer(private val context: NodeContext, private val stops: HaltDispatcher) {
+class MachineDrainer(private val context: ControllerContext, private val stops: HaltDispatcher) {
     fun run(term: ULong) {
         drain(term)
         evict(term)
@@ -15,7 +15,7 @@
 
     /** Machines that are no longer needed: what fills them goes on elsewhere. */
     private fun drain(term: ULong) {
-        for (m in context.mine()) {
+        for (m in context.shards.ownedMachines()) {
             if (m.phase != MachinePhase.DRAINING) continue
             val on = context.view.on(m.name).filter { !it.placed.stopping && !it.job.isGang }
             for ((id, list) in on.groupBy { it.job.id }) {
@@ -27,24 +27,24 @@
     /** Where the leader claims a machine for a more urgent gang, tasks make way as far as the rules allow. */
     private fun evict(term: ULong) {
         val claimed = context.view.claimed.mapNotNull { context.view.machines[it] }
-            .filter { context.owns(it) && context.view.claimOn(it)?.evict ?: false }
+            .filter { context.shards.owns(it) && context.view.activeReservation(it)?.evict ?: false }
         if (claimed.isEmpty()) return
-        val use = context.use()
-        val guaranteed = context.guaranteed()
+        val use = context.scheduling.teamUsage()
+        val guaranteed = context.scheduling.guaranteed()
         for (m in claimed) {
-            val claim = m.claim ?: continue
-            val gang = context.view.jobs[claim.job] ?: continue
+            val reservation = m.reservation ?: continue
+            val gang = context.view.jobs[reservation.job] ?: continue
             var free = context.view.free(m) ?: continue
-            val want = gang.spec.need * claim.tasks
+            val want = gang.spec.taskResources * reservation.tasks
             val on = context.view.on(m.name)
-            for (r in on) if (r.placed.stopping || r.job.cancelled) free += r.job.spec.need
+            for (r in on) if (r.placed.stopping || r.job.cancelled) free += r.job.spec.taskResources
             val victims = on.filter {
                 !it.placed.stopping && !it.job.isGang && JobOrder.mayPreempt(gang, gang.id in guaranteed, it.job, use)
             }.sortedWith(EvictionOrder)
             val chosen = ArrayList<Pair<String, Int>>()
             for (v in victims) {
-                if (free.holds(want)) break
-                free += v.job.spec.need
+                if (free.canHold(want)) break
+                free += v.job.spec.taskResources
                 chosen += v.job.id to v.placed.index
             }
             for ((id, tasks) in chosen.groupBy({ it.first }, { it.second })) {
@@ -59,9 +59,11 @@
  * saves began anew each time: an idle array of three such tasks was at work for six minutes beside arrays that would
  * have lost nothing.
  */
-object EvictionOrder : Comparator<OnHost> {
+object EvictionOrder : Comparator<PlacedTask> {
     private val order =
-        compareBy<OnHost>({ it.job.spec.priority }, { it.job.spec.saveEveryS <= 0.0 }, { -it.job.submittedMs })
+        compareBy<PlacedTask>({
+            it.job.spec.priority
+        }, { it.job.spec.checkpointIntervalS <= 0.0 }, { -it.job.submittedMs })
 
-    override fun compare(a: OnHost, b: OnHost): Int = order.compare(a, b)
+    override fun compare(a: PlacedTask, b: PlacedTask): Int = order.compare(a, b)
 }
--- a/src/main/kotlin/flaxfield/arrays/RoomSummary.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummary.kt
@@ -1,12 +1,12 @@
 package flaxfield.arrays
 
 import flaxfield.BYTES_PER_KIB
-import flaxfield.codec.Obj
-import flaxfield.zones.Hearing
-import flaxfield.zones.ZoneHearing
+import flaxfield.codec.FieldMap
+import flaxfield.zones.HeartbeatCoverage
+import flaxfield.zones.ZoneCoverage
 
 /** How a machine stands with its owner. */
-enum class HostState {
+enum class MachineHealth {
     /** Known to us, its worker has not reported to this owner yet. */
     UNSEEN,
     OK,
@@ -25,27 +25,27 @@
 }
 
 /** One machine in a part's summary. */
-data class HostRoom(
-    val state: HostState,
-    val session: ULong,
+data class MachineStatus(
+    val state: MachineHealth,
+    val incarnation: ULong,
     val address: String,
     /** Images that it likely holds, the latest used last. */
     val images: List<String>,
 )
 
 /** What a part tells the leader about some of its machines, under one term. Free room follows from the records. */
-data class RoomSummary(
+data class ShardSummary(
     val term: ULong,
-    val hosts: Map<String, HostRoom>,
+    val hosts: Map<String, MachineStatus>,
     /** What it hears of each zone: on its first page only, and only where zones are watched. */
-    val hearings: Map<String, ZoneHearing>? = null,
+    val zoneCoverage: Map<String, ZoneCoverage>? = null,
 )
 
 /**
  * Pure: a part's machines dealt into summaries that each fit one value of the state service. One value for
  * all was refused as too large at some 100 machines, and was written whole at any change.
  */
-object RoomPages {
+object ShardSummaryPages {
     /** A machine's row as it is counted: name, state, session and address, with its images kept below the rest. */
     const val ROW_BYTES = 320
 
@@ -63,7 +63,7 @@
         return pages
     }
 
-    fun page(host: String, pages: Int): Int = Math.floorMod(host.hashCode() * SPREAD ushr SHIFT, pages)
+    fun page(machineName: String, pages: Int): Int = Math.floorMod(machineName.hashCode() * SPREAD ushr SHIFT, pages)
 
     /** The latest used of [images] that fit a row. */
     fun images(images: List<String>): List<String> {
@@ -84,30 +84,33 @@
     private const val SHIFT = 16
 }
 
-object RoomCodec {
-    fun encode(s: RoomSummary): Map<String, Any?> = mapOf(
+object ShardSummaryCodec {
+    fun encode(s: ShardSummary): Map<String, Any?> = mapOf(
         "term" to s.term,
-        "hosts" to s.hosts.map { (name, h) -> listOf(name, h.state.ordinal, h.session, h.address, h.images) },
+        "hosts" to s.hosts.map { (name, h) -> listOf(name, h.state.ordinal, h.incarnation, h.address, h.images) },
     ) +
         (
-            s.hearings?.let { mapOf("zones" to it.map { (zone, h) -> listOf(zone, h.expected, h.hearing.ordinal) }) }
+            s.zoneCoverage?.let {
+                mapOf("zones" to it.map { (zone, h) -> listOf(zone, h.expected, h.coverage.ordinal) })
+            }
                 ?: emptyMap()
             )
 
-    fun decode(o: Obj): RoomSummary = RoomSummary(
-        o.needCount("term"),
+    fun decode(o: FieldMap): ShardSummary = ShardSummary(
+        o.requireUnsigned("term"),
         o.list("hosts").orEmpty().associate { row ->
             row as List<*>
-            row[0] as String to HostRoom(
-                HostState.entries[(row[1] as Number).toInt()],
-                Obj.needCount(row[2]),
+            row[0] as String to MachineStatus(
+                MachineHealth.entries[(row[1] as Number).toInt()],
+                FieldMap.requireUnsigned(row[2]),
                 row[3] as String,
                 (row[4] as List<*>).map { it as String },
             )
         },
         o.list("zones")?.associate { row ->
             row as List<*>
-            row[0] as String to ZoneHearing((row[1] as Number).toInt(), Hearing.entries[(row[2] as Number).toInt()])
+            row[0] as String to
+                ZoneCoverage((row[1] as Number).toInt(), HeartbeatCoverage.entries[(row[2] as Number).toInt()])
         },
     )
 }
--- a/src/main/kotlin/flaxfield/cli/Main.kt
+++ b/src/main/kotlin/flaxfield/cli/Main.kt
@@ -1,7 +1,7 @@
 package flaxfield.cli
 
 import flaxfield.codec.MalformedException
-import flaxfield.node.Node
+import flaxfield.controller.ControllerProcess
 import flaxfield.settings.OperatorSettings
 import flaxfield.settings.Settings
 import org.slf4j.LoggerFactory
@@ -79,7 +79,7 @@
         }
         val fleet: String? = serve.matchedOptionValue("--fleet", null)
         if (fleet != null) OperatorJar.entry().serve(settings, operator, incarnation(), fleet)
-        Node(settings, operator, incarnation()).serve()
+        ControllerProcess(settings, operator, incarnation()).serve()
     } catch (e: MalformedException) {
         fail(e.message ?: "bad settings")
     } catch (e: Throwable) {
--- a/src/main/kotlin/flaxfield/client/OperatorClient.kt
+++ b/src/main/kotlin/flaxfield/client/OperatorClient.kt
@@ -47,10 +47,10 @@
  * the next node may be asked whatever became of the last one's answer.
  */
 class OperatorClient(endpoints: List<String>, timeoutS: Double) : AutoCloseable {
-    private class Node(val name: String, val channel: ManagedChannel)
+    private class ControllerProcess(val name: String, val channel: ManagedChannel)
 
     private val deadlineNs = System.nanoTime() + (timeoutS * NANOS).toLong()
-    private val nodes = endpoints.map { Node(it, channel(it)) }
+    private val nodes = endpoints.map { ControllerProcess(it, channel(it)) }
 
     private fun channel(endpoint: String): ManagedChannel {
         val address = try {
@@ -61,7 +61,7 @@
         return NettyChannelBuilder.forAddress(
             address.host,
             address.port,
-        ).usePlaintext().maxInboundMessageSize(MOST_BYTES).build()
+        ).usePlaintext().maxInboundMessageSize(MAX_BYTES).build()
     }
 
     /** The answer of the first node that gives one. */
@@ -118,7 +118,7 @@
         const val POLL_MS = 500L
 
         /** A list of some 4,000 machines is under 1 MB. */
-        const val MOST_BYTES = 64 * 1024 * 1024
+        const val MAX_BYTES = 64 * 1024 * 1024
 
         /** Another node may do better. */
         val ASK_ELSEWHERE = setOf(ExitCode.UNREACHABLE, ExitCode.NOT_NOW, ExitCode.UNKNOWN_OUTCOME)
--- a/src/main/kotlin/flaxfield/codec/Wire.kt
+++ b/src/main/kotlin/flaxfield/codec/Cbor.kt
@@ -20,7 +20,7 @@
  * Only Jackson's streaming interface is used: data binding would cost memory and start-up time.
  * Counts are unsigned 64-bit: those above 2^63-1 are held as [ULong], all other integers as [Long].
  */
-object Wire {
+object Cbor {
     private const val MAX_DEPTH = 32
     private val limits = StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build()
     private val cbor: CBORFactory =
@@ -31,10 +31,10 @@
     private val json: JsonFactory = JsonFactory.builder().streamReadConstraints(limits).build()
 
     /** Decodes one CBOR map. */
-    fun decode(bytes: ByteArray): Obj = parse(cbor.createParser(bytes))
+    fun decode(bytes: ByteArray): FieldMap = parse(cbor.createParser(bytes))
 
     /** Decodes one JSON object: the platform's settings file. */
-    fun decodeJson(bytes: ByteArray): Obj = parse(json.createParser(bytes))
+    fun decodeJson(bytes: ByteArray): FieldMap = parse(json.createParser(bytes))
 
     /** Encodes a map as CBOR. */
     fun encode(map: Map<String, Any?>): ByteArray {
@@ -46,7 +46,7 @@
     /** Reads one CBOR map with [read], which must read all of its fields. */
     fun <T> read(bytes: ByteArray, read: (MapReader) -> T): T = parse(cbor.createParser(bytes)) { read(MapReader(it)) }
 
-    private fun parse(parser: JsonParser): Obj = parse(parser) { Obj(readMap(it)) }
+    private fun parse(parser: JsonParser): FieldMap = parse(parser) { FieldMap(readMap(it)) }
 
     private inline fun <T> parse(parser: JsonParser, read: (JsonParser) -> T): T {
         try {
@@ -131,7 +131,7 @@
                 g.writeNumber(BigInteger(value.toString()))
             }
             is Double -> g.writeNumber(value)
-            is Obj -> write(g, value.map)
+            is FieldMap -> write(g, value.map)
             else -> error("no encoding for ${value::class.java}")
         }
     }
@@ -140,12 +140,12 @@
     private const val ULONG_BITS = 64
 }
 
-/** A decoded map with typed access; the `need…` calls throw [MalformedException] on a missing field. */
+/** A decoded map with typed access; the `taskResources…` calls throw [MalformedException] on a missing field. */
 @JvmInline
-value class Obj(val map: Map<String, Any?>) {
+value class FieldMap(val map: Map<String, Any?>) {
     fun text(key: String): String? = map[key] as? String
 
-    fun needText(key: String): String = text(key) ?: bad(key)
+    fun requireText(key: String): String = text(key) ?: bad(key)
 
     fun number(key: String): Double? = when (val v = map[key]) {
         is Number -> v.toDouble()
@@ -153,32 +153,33 @@
         else -> null
     }
 
-    fun needNumber(key: String): Double = number(key) ?: bad(key)
+    fun requireNumber(key: String): Double = number(key) ?: bad(key)
 
     /** A count, version, token or attempt: an unsigned 64-bit integer. */
     fun count(key: String): ULong? = toCount(map[key])
 
-    fun needCount(key: String): ULong = count(key) ?: bad(key)
+    fun requireUnsigned(key: String): ULong = count(key) ?: bad(key)
 
     fun int(key: String): Int? = count(key)?.let { if (it <= Int.MAX_VALUE.toULong()) it.toInt() else null }
 
-    fun needInt(key: String): Int = int(key) ?: bad(key)
+    fun requireInt(key: String): Int = int(key) ?: bad(key)
 
     fun flag(key: String): Boolean? = map[key] as? Boolean
 
-    fun needFlag(key: String): Boolean = flag(key) ?: bad(key)
+    fun requireBoolean(key: String): Boolean = flag(key) ?: bad(key)
 
     @Suppress("UNCHECKED_CAST")
-    fun obj(key: String): Obj? = (map[key] as? Map<String, Any?>)?.let { Obj(it) }
+    fun obj(key: String): FieldMap? = (map[key] as? Map<String, Any?>)?.let { FieldMap(it) }
 
-    fun needObj(key: String): Obj = obj(key) ?: bad(key)
+    fun requireMap(key: String): FieldMap = obj(key) ?: bad(key)
 
     fun list(key: String): List<Any?>? = map[key] as? List<Any?>
 
     @Suppress("UNCHECKED_CAST")
-    fun objs(key: String): List<Obj> = list(key).orEmpty().mapNotNull { (it as? Map<String, Any?>)?.let(::Obj) }
+    fun mapList(key: String): List<FieldMap> =
+        list(key).orEmpty().mapNotNull { (it as? Map<String, Any?>)?.let(::FieldMap) }
 
-    fun texts(key: String): List<String>? = list(key)?.map { it as? String ?: bad(key) }
+    fun textList(key: String): List<String>? = list(key)?.map { it as? String ?: bad(key) }
 
     private fun bad(key: String): Nothing = throw MalformedException("$key is missing or invalid")
 
@@ -195,6 +196,6 @@
         }
 
         /** A count inside a list of ours. */
-        fun needCount(v: Any?): ULong = toCount(v) ?: throw MalformedException("not a count")
+        fun requireUnsigned(v: Any?): ULong = toCount(v) ?: throw MalformedException("not a count")
     }
 }
--- a/src/main/kotlin/flaxfield/codec/MapReader.kt
+++ b/src/main/kotlin/flaxfield/codec/MapReader.kt
@@ -4,12 +4,13 @@
 import com.fasterxml.jackson.core.JsonToken
 
 /**
- * Reads one map field by field, straight into a typed message: without the tree of maps that [Obj] stands on. For the
- * messages that come by the hundred a second. A value of another type than asked for reads as null and is passed over.
+ * Reads one map field by field, straight into a typed message: without the tree of maps that [FieldMap] stands on. For
+ * the messages that come by the hundred a second. A value of another type than asked for reads as null and is passed
+ * over.
  */
 class MapReader internal constructor(private val parser: JsonParser) {
     /** Calls [field] with the name of each field; whatever of its value [field] does not read is passed over. */
-    fun eachField(field: (String) -> Unit) {
+    fun forEachField(field: (String) -> Unit) {
         while (true) {
             when (parser.nextToken()) {
                 JsonToken.END_OBJECT -> return
@@ -25,7 +26,7 @@
     }
 
     /** Calls [item] for each map in the list that stands here; what else is in it is passed over. */
-    fun eachMap(item: () -> Unit) {
+    fun forEachMap(item: () -> Unit) {
         if (parser.currentToken() != JsonToken.START_ARRAY) return
         while (true) {
             when (parser.nextToken()) {
@@ -56,11 +57,11 @@
     /** The count, version, token or attempt that stands here: an unsigned 64-bit integer. */
     fun count(): ULong? = when (parser.currentToken()) {
         JsonToken.VALUE_NUMBER_INT -> if (parser.numberType == JsonParser.NumberType.BIG_INTEGER) {
-            Wire.unsigned(parser.bigIntegerValue)
+            Cbor.unsigned(parser.bigIntegerValue)
         } else {
-            Obj.toCount(parser.longValue)
+            FieldMap.toCount(parser.longValue)
         }
-        JsonToken.VALUE_NUMBER_FLOAT -> Obj.toCount(parser.doubleValue)
+        JsonToken.VALUE_NUMBER_FLOAT -> FieldMap.toCount(parser.doubleValue)
         else -> null
     }
 }
--- a/src/main/kotlin/flaxfield/node/Deferral.kt
+++ b/src/main/kotlin/flaxfield/controller/BacklogDeferral.kt
@@ -1,10 +1,10 @@
-package flaxfield.node
+package flaxfield.controller
 
 /**
  * Puts a duty off while more urgent work waits, for at most [mostNs]. After a restart hundreds of reports waited while
  * the new leader planned for two seconds, and the leases that they would have renewed ran out.
  */
-class Deferral(private val mostNs: Long) {
+class BacklogDeferral(private val mostNs: Long) {
     private var dueSinceNs: Long? = null
 
     /** Whether the duty, which is due, may run at [nowNs] though [waiting] reports wait. */
--- a/src/main/kotlin/flaxfield/node/Intake.kt
+++ b/src/main/kotlin/flaxfield/controller/CommandQueue.kt
@@ -1,10 +1,10 @@
-package flaxfield.node
+package flaxfield.controller
 
 /**
  * The owner thread's queue. Its own follow-ups come first, then workers and peers, then users: while a thousand
  * workers come back at once, polls must not cost leases. Each kind has its bounded part of the [most] places.
  */
-class Intake(private val most: Int) {
+class CommandQueue(private val most: Int) {
     private val own = ArrayDeque<Command>()
     private val workers = ArrayDeque<Command>()
     private val users = ArrayDeque<Command>()
@@ -39,7 +39,7 @@
 
     /** Moves up to [n] commands into [batch]; users get at least a small part of it. */
     fun take(batch: MutableList<Command>, n: Int) = synchronized(lock) {
-        val forUsers = minOf(users.size, (n * USERS_LEAST).toInt())
+        val forUsers = minOf(users.size, (n * MIN_USERS).toInt())
         move(own, batch, n)
         move(workers, batch, n - forUsers)
         move(users, batch, maxOf(n, batch.size + forUsers))
@@ -52,6 +52,6 @@
     private companion object {
         const val USERS_PATH = "/work"
         const val USERS_SHARE = 0.5
-        const val USERS_LEAST = 0.2
+        const val MIN_USERS = 0.2
     }
 }
--- a/src/main/kotlin/flaxfield/node/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -1,44 +1,44 @@
-package flaxfield.node
+package flaxfield.controller
 
 import flaxfield.NANOS_PER_MILLI
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.arrays.ArrayScheduler
-import flaxfield.codec.Wire
+import flaxfield.codec.Cbor
 import flaxfield.fleet.CloudClient
 import flaxfield.fleet.FleetReconciler
 import flaxfield.gangs.GangScheduler
 import flaxfield.jobs.JobRequestHandler
 import flaxfield.jobs.StallMonitor
-import flaxfield.jobs.TaskCompletion
+import flaxfield.jobs.TaskEventCommitter
 import flaxfield.members.Member
 import flaxfield.members.MembershipManager
 import flaxfield.net.Body
-import flaxfield.net.Calls
-import flaxfield.net.Reply
+import flaxfield.net.HttpTransport
 import flaxfield.net.Request
+import flaxfield.net.Responder
+import flaxfield.peers.PeerConnection
 import flaxfield.peers.PeerGateway
-import flaxfield.peers.PeerLine
 import flaxfield.peers.PeerMessage
 import flaxfield.settings.Address
 import flaxfield.settings.OperatorSettings
 import flaxfield.settings.Settings
 import flaxfield.store.ClusterView
 import flaxfield.store.StoreClient
-import flaxfield.workers.DirectOrders
+import flaxfield.workers.DirectCommandSender
 import flaxfield.workers.HaltDispatcher
-import flaxfield.workers.ReportHandler
+import flaxfield.workers.HeartbeatHandler
 import flaxfield.workers.WorkerHealth
 import flaxfield.zones.ZoneReconciler
 import flaxfield.zones.ZoneRecovery
 import org.slf4j.LoggerFactory
 
 /** The ways out of one controller; the simulation of the tests gives its own. */
-class Outside(
-    val state: Calls,
-    val watch: Calls,
-    val cloud: Calls,
-    val worker: (Address) -> Calls,
-    val peer: (Address, (PeerMessage) -> Unit) -> PeerLine,
+class ControllerTransports(
+    val state: HttpTransport,
+    val watch: HttpTransport,
+    val cloud: HttpTransport,
+    val worker: (Address) -> HttpTransport,
+    val peer: (Address, (PeerMessage) -> Unit) -> PeerConnection,
     /** Sends on its way what has waited for long to be sent. */
     val flushLate: () -> Unit = {},
 )
@@ -61,41 +61,44 @@
     operator: OperatorSettings,
     incarnation: String,
     clock: Clock,
-    private val outside: Outside,
+    private val transports: ControllerTransports,
     /** Requests to workers that may be under way at once. */
     mostDirect: Int,
     /** What a fleet file switches on; null without one. */
     subsystem: SubsystemFactory? = null,
     post: (() -> Unit) -> Unit,
 ) {
-    private val context = NodeContext(
+    private val context = ControllerContext(
         settings,
         operator,
         Member(settings.nodeName, incarnation, settings.zone),
         clock,
-        StoreClient(outside.state, outside.watch, STORE_TIMEOUT_MS),
+        StoreClient(transports.state, transports.watch, STORE_TIMEOUT_MS),
         ClusterView(),
         post,
     )
     private val zones = if (operator.zoneRecovery || subsystem != null) watchZones() else null
     private val metrics = Metrics()
-    private val peers = PeerGateway(context, outside.peer)
-    private val completion = TaskCompletion(context)
-    private val hosts = WorkerHealth(context)
-    private val stops = HaltDispatcher(context, hosts, DirectOrders(DIRECT_TIMEOUT_MS, mostDirect, outside.worker))
-    private val workers = ReportHandler(context, completion, peers, hosts, stops)
+    private val peers = PeerGateway(context, transports.peer)
+    private val taskEvents = TaskEventCommitter(context)
+    private val workerHealth = WorkerHealth(context)
+    private val stops =
+        HaltDispatcher(context, workerHealth, DirectCommandSender(DIRECT_TIMEOUT_MS, mostDirect, transports.worker))
+    private val workers = HeartbeatHandler(context, taskEvents, peers, workerHealth, stops)
     private val members = MembershipManager(context)
     private val gangs = GangScheduler(context)
-    private val arrays = ArrayScheduler(context, hosts, stops)
+    private val arrays = ArrayScheduler(context, workerHealth, stops)
     private val jobs = JobRequestHandler(context, arrays::begin)
-    private val fleet = FleetReconciler(context, CloudClient(outside.cloud, CLOUD_TIMEOUT_MS), completion)
-    private val stalls = StallMonitor(context, completion)
-    private val follower = Follower(context, jobs, hosts)
-    private val subsystem = subsystem?.create(SubsystemParts(context, hosts))?.also { context.subsystem = it }
-
-    private val decisions = Deferral((settings.workers.reportS * DEFER_REPORTS * NANOS_PER_SECOND).toLong())
-    private val fleetPlans = Deferral((settings.workers.reportS * DEFER_REPORTS * NANOS_PER_SECOND).toLong())
-    private val slowDutyNs = (settings.workers.reportS * SLOW_DUTY_REPORTS * NANOS_PER_SECOND).toLong()
+    private val fleet = FleetReconciler(context, CloudClient(transports.cloud, CLOUD_TIMEOUT_MS), taskEvents)
+    private val stalls = StallMonitor(context, taskEvents)
+    private val follower = StoreReflector(context, jobs, workerHealth)
+    private val subsystem = subsystem?.create(SubsystemParts(context, workerHealth))?.also { context.subsystem = it }
+
+    private val decisions =
+        BacklogDeferral((settings.workers.heartbeatIntervalS * DEFER_HEARTBEATS * NANOS_PER_SECOND).toLong())
+    private val fleetPlans =
+        BacklogDeferral((settings.workers.heartbeatIntervalS * DEFER_HEARTBEATS * NANOS_PER_SECOND).toLong())
+    private val slowDutyNs = (settings.workers.heartbeatIntervalS * SLOW_DUTY_HEARTBEATS * NANOS_PER_SECOND).toLong()
     private var lastNs = 0L
     private var leasesFirstUntilNs: Long? = null
     private var nextTickNs = 0L
@@ -122,11 +125,11 @@
      * Whether workers' reports are of use yet; safe from any thread. Before the first view no lease may be renewed and
      * no owner is known: after a restart hundreds of reports a second, read and answered in vain, put that view off.
      */
-    fun takesReports(): Boolean = follower.synced
+    fun acceptsHeartbeats(): Boolean = follower.hasSynced
 
     /** Carries out one command; no fault in it ends the process. */
     fun handle(c: Command) = safely {
-        noteStandstill()
+        detectProcessPause()
         when (c) {
             is Command.Run -> c.block()
             is Command.Peer -> peer(c)
@@ -136,25 +139,25 @@
                 route(c.request)
                 val ns = System.nanoTime() - startNs
                 metrics.handled(requestKind(c.request.path), ns)
-                context.counts.spent(if (c.request.path == "/hello") "reports" else "users", ns)
-                outside.flushLate()
+                context.stats.spent(if (c.request.path == "/hello") "reports" else "users", ns)
+                transports.flushLate()
             }
         }
     }
 
     /**
-     * What is due by now: called after each batch of commands and at least every [TICK_MS]. While [reportsWaiting] are
-     * many, leases come before decisions.
+     * What is due by now: called after each batch of commands and at least every [TICK_MS]. While [heartbeatsWaiting]
+     * are many, leases come before decisions.
      */
-    fun turn(reportsWaiting: Int = 0) {
-        noteStandstill()
+    fun turn(heartbeatsWaiting: Int = 0) {
+        detectProcessPause()
         val now = context.nowNs
         if (now >= nextTickNs) {
             nextTickNs = now + TICK_MS * NANOS_PER_MILLI
-            tick(reportsWaiting)
+            tick(heartbeatsWaiting)
         }
-        if ((context.dirty || now >= context.wakeNs) && now >= nextDecideNs || now >= decideAnywayNs) {
-            if (!decisions.mayRun(now, reportsWaiting)) return
+        if (context.decisions.isDue(now) && now >= nextDecideNs || now >= decideAnywayNs) {
+            if (!decisions.mayRun(now, heartbeatsWaiting)) return
             nextDecideNs = now + DECIDE_GAP_MS * NANOS_PER_MILLI
             decideAnywayNs = now + DECIDE_ANYWAY_MS * NANOS_PER_MILLI
             decide()
@@ -165,60 +168,60 @@
      * The owner wakes every [TICK_MS]: a much longer gap is our own standstill. What was not heard meanwhile says
      * nothing of workers: their silence is counted without it.
      */
-    private fun noteStandstill() {
+    private fun detectProcessPause() {
         val now = context.nowNs
         val gap = now - lastNs
         val first = lastNs == 0L
         lastNs = now
         if (first || gap < settings.workers.leaseS * STANDSTILL_SHARE * NANOS_PER_SECOND) return
         log.info("stood still for {} ms: silence is counted without it", gap / NANOS_PER_MILLI)
-        hosts.stoodStill(gap)
+        workerHealth.onProcessPause(gap)
     }
 
     private fun route(r: Request) {
         val path = r.path
         when {
-            path == "/hello" -> on(r, "POST") { workers.report(r.body, r.reply) }
-            path == "/work" -> on(r, "POST") { jobs.submit(r.body, r.reply) }
+            path == "/hello" -> on(r, "POST") { workers.heartbeat(r.body, r.responder) }
+            path == "/work" -> on(r, "POST") { jobs.submit(r.body, r.responder) }
             path.startsWith("/work/") && path.endsWith("/cancel") ->
-                on(r, "POST") { jobs.cancel(path.removePrefix("/work/").removeSuffix("/cancel"), r.reply) }
-            path.startsWith("/work/") -> on(r, "GET") { jobs.status(path.removePrefix("/work/"), r.reply) }
-            path == "/ready" -> on(r, "GET") { r.reply.send(if (ready()) 200 else 503, Body.EMPTY, null) }
+                on(r, "POST") { jobs.cancel(path.removePrefix("/work/").removeSuffix("/cancel"), r.responder) }
+            path.startsWith("/work/") -> on(r, "GET") { jobs.status(path.removePrefix("/work/"), r.responder) }
+            path == "/ready" -> on(r, "GET") { r.responder.send(if (ready()) 200 else 503, Body.EMPTY, null) }
             path == "/metrics" -> on(r, "GET") {
-                r.reply.send(200, Body((metrics.text() + context.counts.text()).toByteArray(), "text/plain"), null)
+                r.responder.send(200, Body((metrics.text() + context.stats.text()).toByteArray(), "text/plain"), null)
             }
-            else -> r.reply.send(404, Body(Wire.encode(mapOf("error" to "no such path")), Body.CBOR), null)
+            else -> r.responder.send(404, Body(Cbor.encode(mapOf("error" to "no such path")), Body.CBOR), null)
         }
     }
 
     private fun on(r: Request, method: String, block: () -> Unit) {
         if (r.method == method) return block()
-        r.reply.send(405, Body(Wire.encode(mapOf("error" to "only $method here")), Body.CBOR), null)
+        r.responder.send(405, Body(Cbor.encode(mapOf("error" to "only $method here")), Body.CBOR), null)
     }
 
     /** In an outage for all we stay ready and answer 503; if only we are refused, users are better off elsewhere. */
     private fun ready(): Boolean {
-        if (!follower.synced) return false
-        val away = context.nowNs - context.stateOkNs > settings.workers.leaseS * AWAY_SHARE * NANOS_PER_SECOND
+        if (!follower.hasSynced) return false
+        val away = context.storeContact.silenceNs() > settings.workers.leaseS * AWAY_SHARE * NANOS_PER_SECOND
         // Peers that are silent as well tell that we are cut off, not that all are.
-        return !away || !peers.stateOkElsewhere() && (settings.peers.isEmpty() || peers.heard())
+        return !away || !peers.storeReachableElsewhere() && (settings.peers.isEmpty() || peers.heard())
     }
 
     private fun peer(c: Command.Peer) {
         when (val m = c.message) {
-            is PeerMessage.Pulse -> peers.pulse(m)
-            is PeerMessage.Relay -> workers.relayed(
-                m.report,
-                Reply { status, body, _ ->
-                    c.answer(PeerMessage.Relayed(m.id, status, body.bytes))
+            is PeerMessage.PeerHeartbeat -> peers.pulse(m)
+            is PeerMessage.ForwardedHeartbeat -> workers.relayed(
+                m.heartbeat,
+                Responder { status, body, _ ->
+                    c.answer(PeerMessage.ForwardedResponse(m.id, status, body.bytes))
                 },
             )
-            is PeerMessage.Relayed -> Unit
+            is PeerMessage.ForwardedResponse -> Unit
         }
     }
 
-    private fun tick(reportsWaiting: Int) {
-        safely { context.shareBudget() }
+    private fun tick(heartbeatsWaiting: Int) {
+        safely { context.transactions.updateBudgetShare(context.leadership) }
         duty("members") { members.tick() }
         duty("follower") { follower.tick() }
         duty("workers") { stops.tick() }
@@ -227,7 +230,7 @@
         duty("stalls") { stalls.tick() }
         subsystem?.let { duty("subsystem") { it.tick() } }
         zones?.let { duty("zones") { it.tick() } }
-        if (fleetPlans.mayRun(context.nowNs, reportsWaiting)) duty("fleet") { fleet.run() }
+        if (fleetPlans.mayRun(context.nowNs, heartbeatsWaiting)) duty("fleet") { fleet.run() }
         if (context.nowNs >= nextLoadNs) {
             nextLoadNs = context.nowNs + (LOAD_LINE_S * NANOS_PER_SECOND).toLong()
             val w = context.view
@@ -235,23 +238,23 @@
                 "load jobs={} machines={} own={} {}",
                 w.jobs.size,
                 w.machines.size,
-                context.mine().size,
-                context.counts.line(),
+                context.shards.ownedMachines().size,
+                context.stats.line(),
             )
         }
     }
 
     private fun decide() {
-        context.awake()
-        context.caughtUp()
-        safely { hosts.noteTerm() }
+        context.decisions.begin()
+        context.transactions.releaseSettledKeys()
+        safely { workerHealth.observeTerm() }
         if (!leasesFirst()) plan()
         duty("halts") { stops.haltNow() }
     }
 
     private fun plan() {
-        duty("reserved") { context.noteReserved() }
-        duty("settlement") { completion.run() }
+        duty("reserved") { context.scheduling.refresh() }
+        duty("settlement") { taskEvents.run() }
         duty("gangs") { gangs.run() }
         duty("arrays") { arrays.run() }
     }
@@ -261,7 +264,7 @@
      * leases and halts come before all planning, which is slow in code that runs for the first time.
      */
     private fun leasesFirst(): Boolean {
-        if (context.term() == null) return false
+        if (context.leadership.term() == null) return false
         val until = leasesFirstUntilNs ?: leasesFirstUntil().also { leasesFirstUntilNs = it }
         return context.nowNs < until
     }
@@ -275,13 +278,13 @@
         val startNs = System.nanoTime()
         safely(block)
         val ns = System.nanoTime() - startNs
-        context.counts.spent(name, ns)
+        context.stats.spent(name, ns)
         if (ns >
             slowDutyNs
         ) {
             log.info("duty={} took {} ms: the process lacks processor time", name, ns / NANOS_PER_MILLI)
         }
-        outside.flushLate()
+        transports.flushLate()
     }
 
     /** No fault in one command ends the process. */
@@ -294,7 +297,7 @@
     }
 
     companion object {
-        private val log = LoggerFactory.getLogger("flaxfield.node")
+        private val log = LoggerFactory.getLogger("flaxfield.controller")
 
         /** The owner wakes at least this often. */
         const val TICK_MS = 100L
@@ -316,7 +319,7 @@
         /**
          * Decisions wait for reports this long at most, in report intervals: a worker waits no longer for its orders.
          */
-        private const val DEFER_REPORTS = 0.5
+        private const val DEFER_HEARTBEATS = 0.5
 
         /** Planning of a process that has just started waits this share of a worker's lease. */
         private const val LEASES_FIRST_SHARE = 0.15
@@ -324,7 +327,7 @@
         /**
          * A duty that takes this many report intervals delays answers that workers wait for, and is named in the log.
          */
-        private const val SLOW_DUTY_REPORTS = 0.2
+        private const val SLOW_DUTY_HEARTBEATS = 0.2
 
         /** How often a line in the log tells what the process has done so far. */
         private const val LOAD_LINE_S = 60.0
--- a/src/main/kotlin/flaxfield/node/Node.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
@@ -1,11 +1,11 @@
-package flaxfield.node
+package flaxfield.controller
 
 import flaxfield.net.Body
+import flaxfield.net.ConnectionQuotas
 import flaxfield.net.HttpClient
 import flaxfield.net.HttpServer
-import flaxfield.net.Outbox
+import flaxfield.net.OutboundQueue
 import flaxfield.net.Request
-import flaxfield.net.SocketShares
 import flaxfield.peers.PeerClient
 import flaxfield.peers.PeerServer
 import flaxfield.settings.OperatorSettings
@@ -17,22 +17,22 @@
 import java.util.concurrent.TimeUnit
 
 /** One controller process: the network, the queue and the owner thread around a [Controller]. */
-class Node(
+class ControllerProcess(
     private val settings: Settings,
     private val operator: OperatorSettings,
     private val incarnation: String,
     subsystem: SubsystemFactory? = null,
 ) {
-    private val intake = Intake(operator.queueCommands)
-    private val shares = SocketShares.of(settings.maxSockets)
+    private val intake = CommandQueue(operator.queueCommands)
+    private val shares = ConnectionQuotas.of(settings.maxSockets)
     private val loop = NioEventLoopGroup(1)
-    private val out = Outbox(loop.next() as EventLoop)
+    private val out = OutboundQueue(loop.next() as EventLoop)
     private val controller = Controller(
         settings,
         operator,
         incarnation,
         Clock.System,
-        Outside(
+        ControllerTransports(
             state = HttpClient(loop, out, settings.state, STORE_CONNECTIONS, STORE_WAITING),
             watch = HttpClient(loop, out, settings.state, 1, 1),
             cloud = HttpClient(loop, out, settings.cloud, 2),
@@ -99,14 +99,14 @@
 
     /** The first stage: on the network thread, refuses at once when the owner is behind. */
     private fun offer(request: Request) {
-        val taken = !stopping && (request.path != REPORTS_PATH || controller.takesReports())
+        val taken = !stopping && (request.path != REPORTS_PATH || controller.acceptsHeartbeats())
         if (taken && intake.offer(Command.Http(request))) return
         controller.refused()
-        request.reply.send(503, Body.EMPTY, 1)
+        request.responder.send(503, Body.EMPTY, 1)
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("flaxfield.node")
+        val log = LoggerFactory.getLogger("flaxfield.controller")
         const val BATCH = 128
         const val REPORTS_PATH = "/hello"
 
--- a/src/main/kotlin/flaxfield/node/Metrics.kt
+++ b/src/main/kotlin/flaxfield/controller/Metrics.kt
@@ -1,4 +1,4 @@
-package flaxfield.node
+package flaxfield.controller
 
 import io.micrometer.core.instrument.FunctionCounter
 import io.micrometer.core.instrument.FunctionTimer
--- a/src/main/kotlin/flaxfield/node/Follower.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreReflector.kt
@@ -1,20 +1,24 @@
-package flaxfield.node
+package flaxfield.controller
 
 import flaxfield.NANOS_PER_MILLI
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.jobs.JobRequestHandler
-import flaxfield.store.Cause
-import flaxfield.store.Read
+import flaxfield.store.ReadResult
 import flaxfield.store.StoreKeys
-import flaxfield.store.Watched
+import flaxfield.store.WatchResult
+import flaxfield.store.WriteCause
 import flaxfield.workers.WorkerHealth
 import org.slf4j.LoggerFactory
 
 /** Keeps the view: a paged read first, then one watch after another over the same prefix. */
-class Follower(private val context: NodeContext, private val jobs: JobRequestHandler, private val hosts: WorkerHealth) {
+class StoreReflector(
+    private val context: ControllerContext,
+    private val jobs: JobRequestHandler,
+    private val workerHealth: WorkerHealth,
+) {
     /** The view has been complete at least once; read by the network thread as well. */
     @Volatile
-    var synced = false
+    var hasSynced = false
         private set
     private var open = false
     private var listing = false
@@ -25,30 +29,30 @@
     private var nextAskNs = 0L
 
     /** Half of what counts as fresh: one answer may be lost. */
-    private val askGapNs = (context.settings.workers.reportS * ASK_REPORTS * NANOS_PER_SECOND).toLong()
+    private val askGapNs = (context.settings.workers.heartbeatIntervalS * ASK_HEARTBEATS * NANOS_PER_SECOND).toLong()
 
     fun start() {
         listing = true
         complete = false
         listFrom = null
         context.view.clear()
-        context.knowledge.forget()
+        context.viewFreshness.forget()
         page(null)
     }
 
     private fun page(from: String?) {
-        if (!context.budget.take(Cause.LEASE, 0, context.nowNs)) return retryList()
+        if (!context.transactions.budget.take(WriteCause.LEASE, 0, context.nowNs)) return retryList()
         val sentNs = context.nowNs
         context.store.list(StoreKeys.LIVE, from, PAGE) { page ->
             context.post {
                 if (page == null) {
                     retryList()
                 } else {
-                    context.stateOk()
+                    context.storeContact.noteResponse()
                     // The watch starts from the first page's revision: later pages may be newer, versions tell.
                     if (listFrom == null) {
                         listFrom = page.revision
-                        context.knowledge.read(sentNs, page.revision)
+                        context.viewFreshness.read(sentNs, page.revision)
                     }
                     for (i in page.items) context.view.apply(i)
                     if (page.more && page.items.isNotEmpty()) page(page.items.last().key) else listed(page.revision)
@@ -70,9 +74,14 @@
             moved(last)
         } else {
             context.view.advance(first)
-            context.knowledge.reached(first)
+            context.viewFreshness.reached(first)
         }
-        log.info("view read at revision={} jobs={} hosts={}", first, context.view.jobs.size, context.view.machines.size)
+        log.info(
+            "view read at revision={} jobs={} machines={}",
+            first,
+            context.view.jobs.size,
+            context.view.machines.size,
+        )
         tick()
     }
 
@@ -89,24 +98,24 @@
      */
     private fun ask() {
         val now = context.nowNs
-        if (asking || now < nextAskNs || context.knowledge.within(askGapNs, now)) return
-        if (!context.budget.take(Cause.LEASE, 0, now)) return
+        if (asking || now < nextAskNs || context.viewFreshness.within(askGapNs, now)) return
+        if (!context.transactions.budget.take(WriteCause.LEASE, 0, now)) return
         asking = true
         nextAskNs = now + askGapNs
-        context.store.get(StoreKeys.NOTHING) { read ->
+        context.store.get(StoreKeys.REVISION_PROBE) { read ->
             context.post {
                 asking = false
-                if (read is Read.Absent) {
-                    context.stateOk()
-                    context.knowledge.read(now, read.revision)
-                    context.knowledge.reached(context.view.revision)
+                if (read is ReadResult.Absent) {
+                    context.storeContact.noteResponse()
+                    context.viewFreshness.read(now, read.revision)
+                    context.viewFreshness.reached(context.view.revision)
                 }
             }
         }
     }
 
     private fun follow() {
-        if (!context.budget.take(Cause.LEASE, 0, context.nowNs)) return
+        if (!context.transactions.budget.take(WriteCause.LEASE, 0, context.nowNs)) return
         open = true
         val sentNs = context.nowNs
         nextNs = sentNs + gapNs
@@ -115,45 +124,45 @@
         }
     }
 
-    private fun watched(w: Watched, sentNs: Long) {
+    private fun watched(w: WatchResult, sentNs: Long) {
         val startNs = System.nanoTime()
         take(w, sentNs)
-        context.counts.spent("view", System.nanoTime() - startNs)
+        context.stats.spent("view", System.nanoTime() - startNs)
     }
 
-    private fun take(w: Watched, sentNs: Long) {
+    private fun take(w: WatchResult, sentNs: Long) {
         open = false
         when (w) {
-            is Watched.News -> {
-                context.stateOk()
+            is WatchResult.Changes -> {
+                context.storeContact.noteResponse()
                 for (i in w.items) {
                     context.view.apply(i)
                     if (i.value == null &&
-                        i.key.startsWith(StoreKeys.HOST)
+                        i.key.startsWith(StoreKeys.MACHINE)
                     ) {
-                        hosts.forget(i.key.removePrefix(StoreKeys.HOST))
+                        workerHealth.forget(i.key.removePrefix(StoreKeys.MACHINE))
                     }
                 }
-                context.knowledge.read(sentNs, w.revision)
+                context.viewFreshness.read(sentNs, w.revision)
                 moved(w.revision)
                 tick()
             }
-            is Watched.TooOld -> {
+            is WatchResult.Compacted -> {
                 log.info("view too old at revision={}, read again", context.view.revision)
                 start()
             }
-            is Watched.Failed -> nextNs = context.nowNs + RETRY_MS * NANOS_PER_MILLI
+            is WatchResult.Failed -> nextNs = context.nowNs + RETRY_MS * NANOS_PER_MILLI
         }
     }
 
     private fun moved(revision: ULong) {
         context.view.advance(revision)
-        context.knowledge.reached(context.view.revision)
-        synced = true
-        context.dirty = true
-        context.caughtUp()
-        jobs.viewMoved()
-        context.subsystem?.viewMoved()
+        context.viewFreshness.reached(context.view.revision)
+        hasSynced = true
+        context.decisions.request()
+        context.transactions.releaseSettledKeys()
+        jobs.onViewAdvanced()
+        context.subsystem?.onViewAdvanced()
     }
 
     /**
@@ -176,6 +185,6 @@
         const val BLOCK_MS = 10_000L
         const val RETRY_MS = 250L
         const val FOLLOW_SHARE = 0.25
-        const val ASK_REPORTS = 0.5
+        const val ASK_HEARTBEATS = 0.5
     }
 }
--- a/src/main/kotlin/flaxfield/node/Subsystem.kt
+++ b/src/main/kotlin/flaxfield/controller/Subsystem.kt
@@ -1,6 +1,6 @@
-package flaxfield.node
+package flaxfield.controller
 
-import flaxfield.fleet.Demand
+import flaxfield.fleet.CapacityDemand
 import flaxfield.store.Change
 
 /**
@@ -12,10 +12,10 @@
     fun tick()
 
     /** The view has reached a new revision and is complete. */
-    fun viewMoved()
+    fun onViewAdvanced()
 
     /** Work for which room is to be rented ahead. */
-    fun demands(): List<Demand>
+    fun demands(): List<CapacityDemand>
 
     /** The change that tells of a loss of tasks, to be part of each transaction that commits one. */
     fun lossMark(): Change
@@ -27,4 +27,4 @@
 }
 
 /** The parts of a controller that a subsystem works with. */
-class SubsystemParts(val context: NodeContext, val health: flaxfield.workers.WorkerHealth)
+class SubsystemParts(val context: ControllerContext, val health: flaxfield.workers.WorkerHealth)
--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -1,8 +1,8 @@
 package flaxfield.drain
 
-import flaxfield.arrays.HostState
+import flaxfield.arrays.MachineHealth
 import flaxfield.jobs.Job
-import flaxfield.jobs.Placed
+import flaxfield.jobs.Placement
 
 /** Why a task of a team does not do its work now. */
 enum class Absence {
@@ -55,27 +55,27 @@
     /** Why a task is unavailable; null if it is not, or is nobody's loss. */
     fun absence(job: Job, index: Int): Absence? {
         val placed = job.placed(index)
-        val drained = snapshot.ledgers[job.spec.owner]?.entries?.containsKey(TaskId(job.id, index)) ?: false
+        val drained = snapshot.ledgers[job.spec.team]?.entries?.containsKey(TaskId(job.id, index)) ?: false
         return when {
             !counts(job) || job.isDone(index) -> null
             drained -> Absence.DRAINED
             placed != null && placed.stopping -> Absence.STOPPING
             job.isInterrupted(index) -> Absence.LOST
-            placed != null && snapshot.rooms[placed.host]?.state == HostState.SILENT -> Absence.SILENT
+            placed != null && snapshot.machineStatuses[placed.machineName]?.state == MachineHealth.SILENT -> Absence.SILENT
             else -> null
         }
     }
 
     private fun count(): Map<String, TeamAvailability> {
         val sums = HashMap<String, Sums>()
-        for (job in snapshot.jobs.values) if (counts(job)) add(job, sums.getOrPut(job.spec.owner) { Sums() })
+        for (job in snapshot.jobs.values) if (counts(job)) add(job, sums.getOrPut(job.spec.team) { Sums() })
         return sums.mapValues { (team, s) ->
             TeamAvailability(s.expected, s.unavailable, policy.allowed(team, s.expected), s.absences)
         }
     }
 
     private fun add(job: Job, sums: Sums) {
-        val tasks = job.allPlaced().mapTo(HashSet(), Placed::index)
+        val tasks = job.allPlaced().mapTo(HashSet(), Placement::index)
         for (chunk in job.chunks.values) tasks += chunk.interrupted
         var absent = 0
         for (index in tasks) {
@@ -89,5 +89,5 @@
     }
 
     /** A job that its user gave up, or that fails on every machine, has no capacity to lose. */
-    private fun counts(job: Job) = !job.cancelled && !job.suspect
+    private fun counts(job: Job) = !job.cancelled && !job.isSuspect
 }
--- a/src/main/kotlin/flaxfield/drain/Budgets.kt
+++ b/src/main/kotlin/flaxfield/drain/Budgets.kt
@@ -32,7 +32,7 @@
         private const val EPSILON = 1e-6
 
         /** What one task of a job takes. */
-        fun of(spec: JobSpec) = Capacity(spec.need.cpus, spec.need.gpus)
+        fun of(spec: JobSpec) = Capacity(spec.taskResources.cpus, spec.taskResources.gpus)
     }
 }
 
@@ -69,7 +69,7 @@
     ;
 
     /** Whether a drain may stop tasks of [spec]. */
-    fun allows(spec: JobSpec): Boolean = this == ANY || this == CHECKPOINTED && spec.saveEveryS > 0.0
+    fun allows(spec: JobSpec): Boolean = this == ANY || this == CHECKPOINTED && spec.checkpointIntervalS > 0.0
 }
 
 /** What one controller's fleet file says of budgets, published under its name. */
--- a/src/main/kotlin/flaxfield/drain/DrainCodec.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainCodec.kt
@@ -1,7 +1,7 @@
 package flaxfield.drain
 
+import flaxfield.codec.FieldMap
 import flaxfield.codec.MalformedException
-import flaxfield.codec.Obj
 
 /** Stored forms of the drain records. */
 object DrainCodec {
@@ -14,13 +14,13 @@
         "note" to d.note,
     )
 
-    fun drain(id: String, o: Obj, version: ULong) = DrainRecord(
+    fun drain(id: String, o: FieldMap, version: ULong) = DrainRecord(
         id,
-        selector(o.needObj("selector")),
-        o.needCount("at").toLong(),
-        DrainPhase.valueOf(o.needText("phase").uppercase()),
+        selector(o.requireMap("selector")),
+        o.requireUnsigned("at").toLong(),
+        DrainPhase.valueOf(o.requireText("phase").uppercase()),
         o.int("target"),
-        o.needInt("cordoned"),
+        o.requireInt("cordoned"),
         o.text("note").orEmpty(),
         version,
     )
@@ -33,8 +33,8 @@
         "percent" to s.percent,
     )
 
-    private fun selector(o: Obj) = Selector(
-        o.texts("machines").orEmpty().toSet(),
+    private fun selector(o: FieldMap) = Selector(
+        o.textList("machines").orEmpty().toSet(),
         o.text("type"),
         o.text("zone"),
         o.number("older_than_s"),
@@ -45,7 +45,7 @@
         "entries" to ledger.entries.map { (task, d) -> listOf(task.job, task.index, d.attempt, d.drain) },
     )
 
-    fun ledger(team: String, o: Obj, version: ULong) = Ledger(
+    fun ledger(team: String, o: FieldMap, version: ULong) = Ledger(
         team,
         o.list("entries").orEmpty().associate { row ->
             row as List<*>
@@ -66,15 +66,15 @@
         "recovery_tiers" to c.recoveryTiers,
     )
 
-    fun config(o: Obj) = FleetConfig(
-        o.needText("run"),
-        o.needObj("budgets").let { all -> all.map.keys.associateWith { limit(all.needObj(it)) } },
-        limit(o.needObj("default_budget")),
-        o.needObj("classes").let { all -> all.map.keys.associateWith { repeat(all.needText(it)) } },
-        repeat(o.needText("default_repeat")),
-        o.needInt("surge_machines"),
-        o.needInt("max_cordoned"),
-        o.obj("recovery_tiers")?.let { all -> all.map.keys.associateWith { all.needInt(it) } }.orEmpty(),
+    fun config(o: FieldMap) = FleetConfig(
+        o.requireText("run"),
+        o.requireMap("budgets").let { all -> all.map.keys.associateWith { limit(all.requireMap(it)) } },
+        limit(o.requireMap("default_budget")),
+        o.requireMap("classes").let { all -> all.map.keys.associateWith { repeat(all.requireText(it)) } },
+        repeat(o.requireText("default_repeat")),
+        o.requireInt("surge_machines"),
+        o.requireInt("max_cordoned"),
+        o.obj("recovery_tiers")?.let { all -> all.map.keys.associateWith { all.requireInt(it) } }.orEmpty(),
     )
 
     private fun encode(limit: BudgetLimit): Map<String, Any?> = when (limit) {
@@ -82,10 +82,10 @@
         is BudgetLimit.Percent -> mapOf("percent" to limit.percent)
     }
 
-    private fun limit(o: Obj): BudgetLimit {
+    private fun limit(o: FieldMap): BudgetLimit {
         val percent = o.number("percent")
         if (percent != null) return BudgetLimit.Percent(percent)
-        return BudgetLimit.Absolute(Capacity(o.needNumber("cpus"), o.needNumber("accelerators")))
+        return BudgetLimit.Absolute(Capacity(o.requireNumber("cpus"), o.requireNumber("accelerators")))
     }
 
     private fun repeat(text: String): RepeatPolicy = RepeatPolicy.entries.firstOrNull { it.name.lowercase() == text }
--- a/src/main/kotlin/flaxfield/drain/DrainOrders.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrders.kt
@@ -1,8 +1,8 @@
 package flaxfield.drain
 
 import flaxfield.BYTES_PER_KIB
-import flaxfield.node.NodeContext
-import flaxfield.store.Sizes
+import flaxfield.controller.ControllerContext
+import flaxfield.store.TransactionSize
 import org.slf4j.LoggerFactory
 
 /** What an operator asks for. */
@@ -57,7 +57,7 @@
  * Writes operators' orders as records, on whichever node they reach. The leader carries them out. A repeat of an order
  * under the same id is answered as the first one was.
  */
-class DrainOrders(private val context: NodeContext) {
+class DrainOrders(private val context: ControllerContext) {
     private val writer = OrderWriter(context)
 
     /** Takes [order]; [done] is called on the owner thread. */
@@ -72,7 +72,7 @@
 
     private fun write(drain: DrainRecord, done: (OrderResult<DrainRecord>) -> Unit) {
         val value = DrainCodec.encode(drain)
-        if (Sizes.json(value) > context.settings.stateLimits.valueKb * BYTES_PER_KIB * SELECTOR_SHARE) {
+        if (TransactionSize.json(value) > context.settings.stateLimits.valueKb * BYTES_PER_KIB * SELECTOR_SHARE) {
             return done(OrderResult.Refused(OrderFault.INVALID, "the selector names too many machines"))
         }
         writer.write("drain ${drain.id}", FleetKeys.DRAIN + drain.id, drain.version, value) { result ->
--- a/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
@@ -1,13 +1,13 @@
 package flaxfield.drain
 
-import flaxfield.arrays.HostState
+import flaxfield.arrays.MachineHealth
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
 import flaxfield.jobs.Job
 
 /** Tasks that are stopped together or not at all: a whole gang, or one task of an array. */
 data class DisruptionUnit(val job: Job, val tasks: List<Int>) {
-    val team: String get() = job.spec.owner
+    val team: String get() = job.spec.team
 }
 
 /** Why a machine that is drained is not emptied further now. */
@@ -36,7 +36,7 @@
     data class GangUnsettled(val job: String) : WaitReason
 
     /** The machine does not report, or is to be given up by another duty. */
-    data class NotReporting(val state: HostState) : WaitReason
+    data class NotReporting(val state: MachineHealth) : WaitReason
 
     /** The team's ledger holds as many tasks as one value of the state service takes. */
     data class LedgerFull(val team: String, val entries: Int) : WaitReason
@@ -159,9 +159,9 @@
         val drained = byDrain.values.flatMapTo(HashSet()) { list -> list.map { it.name } }
         val result = HashMap<String, MutableList<DisruptionUnit>>()
         for (job in snapshot.jobs.values) {
-            val here = job.allPlaced().filter { it.host in drained }.groupBy { it.host }
-            for ((host, tasks) in here) {
-                val list = result.getOrPut(host) { ArrayList() }
+            val here = job.allPlaced().filter { it.machineName in drained }.groupBy { it.machineName }
+            for ((machineName, tasks) in here) {
+                val list = result.getOrPut(machineName) { ArrayList() }
                 if (job.isGang) {
                     list += DisruptionUnit(job, job.allPlaced().map { it.index }.sorted().toList())
                 } else {
@@ -198,7 +198,7 @@
             // Also where a step is made already: why the others wait is noted on the way.
             var offers = machines.mapNotNull { offer(drain, it, taken) }
             if (taken.offers.isNotEmpty()) continue
-            while (offers.isNotEmpty() && taken.offers.size < MOST_MACHINES) {
+            while (offers.isNotEmpty() && taken.offers.size < MAX_MACHINES) {
                 taken.add(offers.minWith(OFFERS))
                 val done = taken.offers.mapTo(HashSet()) { it.machine.name }
                 offers = offers.filter { it.machine.name !in done }.mapNotNull { offer(drain, it.machine, taken) }
@@ -249,7 +249,7 @@
     private fun blocked(machine: Machine, units: List<DisruptionUnit>): WaitReason? {
         val policy = policy ?: return WaitReason.WithoutConfig(snapshot.membersWithoutConfig())
         if (machine.phase != MachinePhase.UP) return null
-        val state = snapshot.rooms[machine.name]?.state ?: HostState.UNSEEN
+        val state = snapshot.machineStatuses[machine.name]?.state ?: MachineHealth.UNSEEN
         if (units.isNotEmpty() && state in UNREACHED) return WaitReason.NotReporting(state)
         val live = units.filter { !it.job.cancelled }
         // While one task must end by itself the machine stays: the others go on until then.
@@ -342,13 +342,13 @@
          * Machines in one step. One machine a step took three times as long as the budgets allow at 500 machines; what
          * a transaction holds of them is the reconciler's to see to.
          */
-        private const val MOST_MACHINES = 8
+        private const val MAX_MACHINES = 8
 
         /** A share of a whole number of machines must not become one more by the last bit. */
         private const val ROUNDING = 1e-9
 
         /** Halts would not get through, or the machine is given up anyway. */
-        private val UNREACHED = setOf(HostState.SILENT, HostState.UNSEEN, HostState.FAULTY)
+        private val UNREACHED = setOf(MachineHealth.SILENT, MachineHealth.UNSEEN, MachineHealth.FAULTY)
 
         /** Older drains first. */
         private val AGE = compareBy<DrainRecord>({ it.orderedMs }, { it.id })
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -1,19 +1,19 @@
 package flaxfield.drain
 
 import flaxfield.BYTES_PER_KIB
+import flaxfield.controller.ControllerContext
 import flaxfield.fleet.FleetCodec
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskCompletion
-import flaxfield.node.NodeContext
+import flaxfield.jobs.TaskEventCommitter
 import flaxfield.settings.StateLimits
-import flaxfield.store.Cause
 import flaxfield.store.Change
-import flaxfield.store.Outcome
-import flaxfield.store.Sizes
 import flaxfield.store.StoreKeys
-import flaxfield.store.Txn
+import flaxfield.store.Transaction
+import flaxfield.store.TransactionOutcome
+import flaxfield.store.TransactionSize
+import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
 /**
@@ -21,17 +21,17 @@
  * under this term and the versions that the plan was made on, so that neither an earlier leader nor a late copy of a
  * transaction can add to it. Halts follow from the records, after the commit.
  */
-class DrainReconciler(private val context: NodeContext) {
+class DrainReconciler(private val context: ControllerContext) {
     private val limits = context.settings.stateLimits
     private val entries = LedgerEntries(context)
 
     /** Plans on [snapshot] and sends what can be sent now. */
     fun run(snapshot: FleetSnapshot) {
-        val term = context.term() ?: return
+        val term = context.leadership.term() ?: return
         if (snapshot.ledgers.values.any { it.entries.isNotEmpty() }) entries.settle(snapshot)
         if (snapshot.drains.isEmpty()) return
         for (action in DrainPlanner(snapshot, mostEntries(limits)).plan().actions) {
-            if (!context.maySpend(Cause.FLEET, 1)) return
+            if (!context.transactions.mayWrite(WriteCause.FLEET, 1)) return
             when (action) {
                 is DrainAction.Count -> counted(action)
                 is DrainAction.Cordon -> cordon(action, term)
@@ -52,14 +52,14 @@
 
     private fun write(drain: DrainRecord) {
         val key = FleetKeys.DRAIN + drain.id
-        if (context.isBusy(key)) return
+        if (context.transactions.isWritePending(key)) return
         val txn =
-            Txn(
-                TaskCompletion.fence(context) + (key to drain.version),
+            Transaction(
+                TaskEventCommitter.fence(context) + (key to drain.version),
                 listOf(Change.Put(key, DrainCodec.encode(drain))),
             )
-        context.commit(Cause.FLEET, txn) { outcome ->
-            if (outcome is Outcome.Committed) {
+        context.transactions.submit(WriteCause.FLEET, txn) { outcome ->
+            if (outcome is TransactionOutcome.Committed) {
                 log.info(
                     "drain={} phase={} target={} {}",
                     drain.id,
@@ -74,43 +74,56 @@
     /** The drain's record counts what it has taken, in the same transaction. */
     private fun cordon(action: DrainAction.Cordon, term: ULong) {
         val key = FleetKeys.DRAIN + action.drain.id
-        if (context.isBusy(key)) return
-        val some = idle(action.machines).take(context.budget.bulk(limits.txnOps - 1))
+        if (context.transactions.isWritePending(key)) return
+        val some = idle(action.machines).take(context.transactions.budget.bulk(limits.txnOps - 1))
         if (some.isEmpty()) return
         val drain = action.drain.copy(cordoned = action.drain.cordoned + some.size)
         val changes =
             listOf(Change.Put(key, DrainCodec.encode(drain))) +
-                some.map { put(it.copy(cordon = drain.id, claim = null)) }
+                some.map { put(it.copy(cordon = drain.id, reservation = null)) }
         commit(action.drain, some, changes) {
-            for (m in some) log.info("drain={} host={} term={} takes no new work", drain.id, m.name, term)
+            for (m in some) log.info("drain={} machine={} term={} takes no new work", drain.id, m.name, term)
         }
     }
 
     private fun retire(action: DrainAction.Retire, term: ULong) {
-        val some = idle(action.machines).take(context.budget.bulk(limits.txnOps))
+        val some = idle(action.machines).take(context.transactions.budget.bulk(limits.txnOps))
         if (some.isEmpty()) return
         commit(action.drain, some, some.map { put(it.copy(phase = MachinePhase.DRAINING)) }) {
-            for (m in some) log.info("drain={} host={} term={} is empty, to be returned", action.drain.id, m.name, term)
+            for (m in some) {
+                log.info(
+                    "drain={} machine={} term={} is empty, to be returned",
+                    action.drain.id,
+                    m.name,
+                    term,
+                )
+            }
         }
     }
 
     private fun uncordon(action: DrainAction.Uncordon, term: ULong) {
-        val some = idle(action.machines).take(context.budget.bulk(limits.txnOps))
+        val some = idle(action.machines).take(context.transactions.budget.bulk(limits.txnOps))
         if (some.isEmpty()) return
         commit(action.drain, some, some.map { put(it.copy(cordon = null)) }) {
-            for (m in some) log.info("drain={} host={} term={} takes new work again", action.drain.id, m.name, term)
+            for (m in some) log.info("drain={} machine={} term={} takes new work again", action.drain.id, m.name, term)
         }
     }
 
-    private fun idle(machines: List<Machine>) = machines.filter { !context.isBusy(StoreKeys.HOST + it.name) }
+    private fun idle(machines: List<Machine>) = machines.filter {
+        !context.transactions.isWritePending(
+            StoreKeys.MACHINE + it.name,
+        )
+    }
 
-    private fun put(machine: Machine) = Change.Put(StoreKeys.HOST + machine.name, FleetCodec.encode(machine))
+    private fun put(machine: Machine) = Change.Put(StoreKeys.MACHINE + machine.name, FleetCodec.encode(machine))
 
     private fun commit(drain: DrainRecord, machines: List<Machine>, changes: List<Change>, done: () -> Unit) {
-        val conditions = TaskCompletion.fence(context) +
+        val conditions = TaskEventCommitter.fence(context) +
             (FleetKeys.DRAIN + drain.id to drain.version) +
-            machines.associate { StoreKeys.HOST + it.name to it.version }
-        context.commit(Cause.FLEET, Txn(conditions, changes)) { if (it is Outcome.Committed) done() }
+            machines.associate { StoreKeys.MACHINE + it.name to it.version }
+        context.transactions.submit(WriteCause.FLEET, Transaction(conditions, changes)) {
+            if (it is TransactionOutcome.Committed) done()
+        }
     }
 
     /** Stops as many units as one transaction holds, and charges each of their tasks to its team's ledger. */
@@ -118,27 +131,27 @@
         var units = action.units
         while (units.isNotEmpty()) {
             val txn = DrainSteps(snapshot, term).transaction(action.drain, action.machines, units)
-            if (Sizes.fault(txn, limits) != null) {
+            if (TransactionSize.fault(txn, limits) != null) {
                 // The first of two units may be as large as both; the last halving leaves one.
                 units = units.take(units.size / 2)
                 continue
             }
-            if (txn.changes.any { context.isBusy(it.key) }) return
+            if (txn.changes.any { context.transactions.isWritePending(it.key) }) return
             send(action, units, txn, term)
             return
         }
-        log.error("drain={} hosts={} nothing on them fits one transaction", action.drain.id, names(action))
+        log.error("drain={} machines={} nothing on them fits one transaction", action.drain.id, names(action))
     }
 
-    private fun send(action: DrainAction.Step, units: List<DisruptionUnit>, txn: Txn, term: ULong) {
-        context.commit(Cause.GANG, txn) { outcome ->
-            if (outcome !is Outcome.Committed) {
-                log.debug("drain={} hosts={} step outcome={}", action.drain.id, names(action), outcome)
-                return@commit
+    private fun send(action: DrainAction.Step, units: List<DisruptionUnit>, txn: Transaction, term: ULong) {
+        context.transactions.submit(WriteCause.GANG, txn) { outcome ->
+            if (outcome !is TransactionOutcome.Committed) {
+                log.debug("drain={} machines={} step outcome={}", action.drain.id, names(action), outcome)
+                return@submit
             }
             for (u in units) {
                 log.info(
-                    "drain={} hosts={} job={} tasks={} team={} term={} charged, to stop",
+                    "drain={} machines={} job={} tasks={} team={} term={} charged, to stop",
                     action.drain.id,
                     names(action),
                     u.job.id,
@@ -157,10 +170,20 @@
         val over = snapshot.drains.values.filter { it.phase.isOver }
         if (over.size <= KEPT_DRAINS) return
         val old = over.sortedBy { it.orderedMs }.take(minOf(over.size - KEPT_DRAINS, limits.txnOps))
-            .filter { !context.isBusy(FleetKeys.DRAIN + it.id) }
+            .filter { !context.transactions.isWritePending(FleetKeys.DRAIN + it.id) }
         if (old.isEmpty()) return
-        val conditions = TaskCompletion.fence(context) + old.associate { FleetKeys.DRAIN + it.id to it.version }
-        context.commit(Cause.ROOM, Txn(conditions, old.map { Change.Drop(FleetKeys.DRAIN + it.id) }))
+        val conditions = TaskEventCommitter.fence(context) + old.associate { FleetKeys.DRAIN + it.id to it.version }
+        context.transactions.submit(
+            WriteCause.ROOM,
+            Transaction(
+                conditions,
+                old.map {
+                    Change.Delete(
+                        FleetKeys.DRAIN + it.id,
+                    )
+                },
+            ),
+        )
     }
 
     companion object {
@@ -188,18 +211,18 @@
      * loss mark of each member, the job records and the machines: a charge of another drain, a loss, or an operator's
      * pause committed in between makes all of it fail.
      */
-    fun transaction(drain: DrainRecord, machines: List<Machine>, units: List<DisruptionUnit>): Txn {
+    fun transaction(drain: DrainRecord, machines: List<Machine>, units: List<DisruptionUnit>): Transaction {
         val conditions = HashMap<String, ULong>()
         val changes = ArrayList<Change>()
         conditions[StoreKeys.ASSIGNMENT] = term
         conditions[FleetKeys.DRAIN + drain.id] = drain.version
-        for (m in machines) conditions[StoreKeys.HOST + m.name] = m.version
+        for (m in machines) conditions[StoreKeys.MACHINE + m.name] = m.version
         for (member in snapshot.assignment?.members.orEmpty()) {
             conditions[FleetKeys.LOSS + member.name] = snapshot.lossMarks[member.name] ?: 0uL
         }
         for ((id, list) in units.groupBy { it.job.id }) {
             val job = snapshot.jobs[id] ?: continue
-            val stop = TaskCompletion.write(job, job.stop(running(job, list)), term)
+            val stop = TaskEventCommitter.write(job, job.stop(running(job, list)), term)
             conditions += stop.conditions
             changes += stop.changes
         }
@@ -210,7 +233,7 @@
             conditions[key] = ledger.version
             changes += Change.Put(key, DrainCodec.encode(ledger.copy(entries = ledger.entries + charged)))
         }
-        return Txn(conditions, changes)
+        return Transaction(conditions, changes)
     }
 
     private fun running(job: Job, units: List<DisruptionUnit>) = units.flatMap { it.tasks }.filter {
--- a/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
@@ -1,10 +1,10 @@
 package flaxfield.drain
 
-import flaxfield.arrays.HostRoom
+import flaxfield.arrays.MachineStatus
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachineType
 import flaxfield.jobs.Job
-import flaxfield.members.Assignment
+import flaxfield.members.ShardAssignment
 import flaxfield.store.StoreKeys
 import flaxfield.zones.AbandonOrder
 import flaxfield.zones.ZoneRecord
@@ -17,11 +17,11 @@
  */
 data class FleetSnapshot(
     val revision: ULong = 0uL,
-    val assignment: Assignment? = null,
+    val assignment: ShardAssignment? = null,
     val jobs: PersistentMap<String, Job> = persistentHashMapOf(),
     val machines: PersistentMap<String, Machine> = persistentHashMapOf(),
     /** How machines stand, as their owners' summaries under the present term tell. */
-    val rooms: PersistentMap<String, HostRoom> = persistentHashMapOf(),
+    val machineStatuses: PersistentMap<String, MachineStatus> = persistentHashMapOf(),
     val machineTypes: Map<String, MachineType> = emptyMap(),
     val drains: PersistentMap<String, DrainRecord> = persistentHashMapOf(),
     val ledgers: PersistentMap<String, Ledger> = persistentHashMapOf(),
--- a/src/main/kotlin/flaxfield/drain/LedgerEntries.kt
+++ b/src/main/kotlin/flaxfield/drain/LedgerEntries.kt
@@ -1,20 +1,20 @@
 package flaxfield.drain
 
+import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskCompletion
-import flaxfield.node.NodeContext
-import flaxfield.store.Cause
+import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
-import flaxfield.store.Outcome
 import flaxfield.store.StoreKeys
-import flaxfield.store.Txn
+import flaxfield.store.Transaction
+import flaxfield.store.TransactionOutcome
+import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
 /**
  * Frees entries of ledgers whose task is done or whose job has ended. That a task runs again is proven by the owner of
  * its machine, see [RestoreReconciler]. No entry is ever freed by time.
  */
-class LedgerEntries(private val context: NodeContext) {
+class LedgerEntries(private val context: ControllerContext) {
     /** Frees what [snapshot] shows to have ended. */
     fun settle(snapshot: FleetSnapshot) {
         for (ledger in snapshot.ledgers.values) settle(snapshot, ledger)
@@ -22,7 +22,7 @@
 
     private fun settle(snapshot: FleetSnapshot, ledger: Ledger) {
         val key = FleetKeys.LEDGER + ledger.team
-        if (context.isBusy(key)) return
+        if (context.transactions.isWritePending(key)) return
         val ended = ledger.entries.keys.filter { ended(snapshot.jobs[it.job], it.index) }
         // Each job is a condition of its own: what this view shows must hold when the entry is freed.
         val jobs = ended.map { it.job }.distinct().take(context.settings.stateLimits.txnOps)
@@ -30,12 +30,12 @@
         if (freed.isEmpty()) return
         val versions = jobs.associate { StoreKeys.JOB + it to (snapshot.jobs[it]?.version ?: 0uL) }
         val next = ledger.copy(entries = ledger.entries - freed.toSet())
-        val txn = Txn(
-            TaskCompletion.fence(context) + versions + (key to ledger.version),
+        val txn = Transaction(
+            TaskEventCommitter.fence(context) + versions + (key to ledger.version),
             listOf(Change.Put(key, DrainCodec.encode(next))),
         )
-        context.commit(Cause.ROOM, txn) { outcome ->
-            if (outcome is Outcome.Committed) {
+        context.transactions.submit(WriteCause.ROOM, txn) { outcome ->
+            if (outcome is TransactionOutcome.Committed) {
                 for (t in freed) {
                     log.info(
                         "team={} job={} task={} freed: ended",
--- a/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
+++ b/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
@@ -1,7 +1,7 @@
 package flaxfield.drain
 
 import flaxfield.store.ClusterView
-import flaxfield.store.Item
+import flaxfield.store.KeyUpdate
 import flaxfield.store.StoreKeys
 import flaxfield.store.ViewObserver
 import flaxfield.zones.AbandonCodec
@@ -25,19 +25,21 @@
     private var next = FleetSnapshot()
     private val changedJobs = HashSet<String>()
     private val changedMachines = HashSet<String>()
-    private var roomsChanged = false
+    private var statusesChanged = false
 
     /** Jobs that have lost tasks which are not known to run again. */
     val jobsWithLosses = HashSet<String>()
 
-    override fun changed(item: Item) {
+    override fun changed(item: KeyUpdate) {
         val key = item.key
         when {
             key.startsWith(StoreKeys.FLEET) -> fleetRecord(item)
             key.startsWith(StoreKeys.JOB) -> changedJobs += key.removePrefix(StoreKeys.JOB)
-            key.startsWith(StoreKeys.PART) -> changedJobs += key.removePrefix(StoreKeys.PART).substringBefore('/')
-            key.startsWith(StoreKeys.HOST) -> changedMachines += key.removePrefix(StoreKeys.HOST)
-            key.startsWith(StoreKeys.ROOM) || key == StoreKeys.ASSIGNMENT -> roomsChanged = true
+            key.startsWith(StoreKeys.JOB_CHUNK) ->
+                changedJobs +=
+                    key.removePrefix(StoreKeys.JOB_CHUNK).substringBefore('/')
+            key.startsWith(StoreKeys.MACHINE) -> changedMachines += key.removePrefix(StoreKeys.MACHINE)
+            key.startsWith(StoreKeys.SHARD_SUMMARY) || key == StoreKeys.ASSIGNMENT -> statusesChanged = true
         }
     }
 
@@ -47,7 +49,7 @@
         changedJobs.clear()
         changedMachines.clear()
         jobsWithLosses.clear()
-        roomsChanged = true
+        statusesChanged = true
     }
 
     /** The view is complete at its present revision: publishes it. */
@@ -62,22 +64,22 @@
             job?.run { doneCount + placedCount }
         }
         var machines = next.machines
-        var rooms = next.rooms
-        for (name in if (roomsChanged) changedMachines + machines.keys else changedMachines) {
+        var machineStatuses = next.machineStatuses
+        for (name in if (statusesChanged) changedMachines + machines.keys else changedMachines) {
             val machine = view.machines[name]
-            val room = view.hostRoom(name)
+            val room = view.machineStatus(name)
             machines = if (machine == null) machines.remove(name) else machines.put(name, machine)
-            rooms = if (room == null) rooms.remove(name) else rooms.put(name, room)
+            machineStatuses = if (room == null) machineStatuses.remove(name) else machineStatuses.put(name, room)
         }
         changedJobs.clear()
         changedMachines.clear()
-        roomsChanged = false
+        statusesChanged = false
         next = next.copy(
             revision = view.revision,
             assignment = view.assignment,
             jobs = jobs,
             machines = machines,
-            rooms = rooms,
+            machineStatuses = machineStatuses,
             machineTypes = view.machineTypes,
             zones = if (next.zones == view.zones) next.zones else HashMap(view.zones),
         )
@@ -85,7 +87,7 @@
         current = next
     }
 
-    private fun fleetRecord(item: Item) {
+    private fun fleetRecord(item: KeyUpdate) {
         val key = item.key
         val value = item.value
         try {
--- a/src/main/kotlin/flaxfield/fleet/Boot.kt
+++ b/src/main/kotlin/flaxfield/fleet/Boot.kt
@@ -15,8 +15,8 @@
          * given up later. While none is up, all are slow, and those in its place would be as slow: it gets twice the
          * time.
          */
-        fun of(ageS: Double, readyS: Double, laterOnesUp: Boolean): Boot {
-            val boots = ageS / readyS / (if (laterOnesUp) 1 else PATIENCE)
+        fun of(ageS: Double, bootTimeS: Double, laterOnesUp: Boolean): Boot {
+            val boots = ageS / bootTimeS / (if (laterOnesUp) 1 else PATIENCE)
             return when {
                 boots > LOST_BOOTS -> LOST
                 boots > OVERDUE_BOOTS -> OVERDUE
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -1,35 +1,35 @@
 package flaxfield.fleet
 
+import flaxfield.codec.Cbor
+import flaxfield.codec.FieldMap
 import flaxfield.codec.MalformedException
-import flaxfield.codec.Obj
-import flaxfield.codec.Wire
-import flaxfield.net.Calls
+import flaxfield.net.HttpTransport
 
-sealed interface Rented {
-    data class Hosts(val names: List<String>) : Rented
+sealed interface RentalResponse {
+    data class Granted(val names: List<String>) : RentalResponse
 
-    data object NoCapacity : Rented
+    data object NoCapacity : RentalResponse
 
-    data object Malformed : Rented
+    data object Malformed : RentalResponse
 
     /** No answer or trouble: the same name is asked again. */
-    data object Unclear : Rented
+    data object Unclear : RentalResponse
 }
 
-data class Listed(val host: String, val failed: Boolean)
+data class ListedMachine(val machineName: String, val failed: Boolean)
 
-data class ListPage(val hosts: List<Listed>, val more: Boolean)
+data class ListPage(val hosts: List<ListedMachine>, val more: Boolean)
 
 /** Speaks the cloud's protocol. Callbacks run on the event loop. */
-class CloudClient(private val http: Calls, private val timeoutMs: Long) {
+class CloudClient(private val http: HttpTransport, private val timeoutMs: Long) {
     fun machineTypes(done: (Map<String, MachineType>?) -> Unit) {
         http.send("GET", "/flavors", null, timeoutMs) { a ->
-            done(guard(null) { if (a?.status == OK) FleetCodec.machineTypes(Wire.decode(a.body)) else null })
+            done(guard(null) { if (a?.status == OK) FleetCodec.machineTypes(Cbor.decode(a.body)) else null })
         }
     }
 
-    fun rent(h: Rental, done: (Rented) -> Unit) {
-        val body = Wire.encode(
+    fun rent(h: Rental, done: (RentalResponse) -> Unit) {
+        val body = Cbor.encode(
             mapOf(
                 "hire" to h.name,
                 "flavor" to h.machineType,
@@ -40,12 +40,19 @@
         )
         http.send("POST", "/machines", body, timeoutMs) { a ->
             done(
-                guard(Rented.Unclear) {
+                guard(RentalResponse.Unclear) {
                     when (a?.status) {
-                        OK -> Rented.Hosts(Wire.decode(a.body).texts("hosts").orEmpty())
-                        UNAVAILABLE -> if (noCapacity(Wire.decode(a.body))) Rented.NoCapacity else Rented.Unclear
-                        BAD -> Rented.Malformed
-                        else -> Rented.Unclear
+                        OK -> RentalResponse.Granted(Cbor.decode(a.body).textList("hosts").orEmpty())
+                        UNAVAILABLE -> if (noCapacity(
+                                Cbor.decode(a.body),
+                            )
+                        ) {
+                            RentalResponse.NoCapacity
+                        } else {
+                            RentalResponse.Unclear
+                        }
+                        BAD -> RentalResponse.Malformed
+                        else -> RentalResponse.Unclear
                     }
                 },
             )
@@ -54,7 +61,7 @@
 
     /** True once the machines and all that was on them are gone. */
     fun giveBack(hosts: List<String>, done: (Boolean) -> Unit) {
-        http.send("POST", "/machines/return", Wire.encode(mapOf("hosts" to hosts)), timeoutMs) {
+        http.send("POST", "/machines/return", Cbor.encode(mapOf("hosts" to hosts)), timeoutMs) {
             done(it?.status == OK)
         }
     }
@@ -65,9 +72,9 @@
             done(
                 guard(null) {
                     if (a?.status != OK) return@guard null
-                    val o = Wire.decode(a.body)
+                    val o = Cbor.decode(a.body)
                     ListPage(
-                        o.objs("hosts").map { Listed(it.needText("id"), it.text("phase") == "failed") },
+                        o.mapList("hosts").map { ListedMachine(it.requireText("id"), it.text("phase") == "failed") },
                         o.flag("more") ?: false,
                     )
                 },
@@ -75,7 +82,7 @@
         }
     }
 
-    private fun noCapacity(o: Obj) = o.text("error")?.contains("capacity") ?: false
+    private fun noCapacity(o: FieldMap) = o.text("error")?.contains("capacity") ?: false
 
     private fun <T> guard(otherwise: T, read: () -> T): T = try {
         read()
--- a/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
@@ -2,23 +2,27 @@
 
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
-import flaxfield.arrays.HostState
+import flaxfield.arrays.MachineHealth
+import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
-import flaxfield.jobs.Room
-import flaxfield.jobs.TaskCompletion
-import flaxfield.node.NodeContext
-import flaxfield.store.Cause
+import flaxfield.jobs.Resources
+import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
-import flaxfield.store.Txn
+import flaxfield.store.Transaction
+import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
 /** The leader's dealings with the cloud: types, what to rent and what to give up; returns are [MachineReturner]'s. */
-class FleetReconciler(private val context: NodeContext, private val cloud: CloudClient, completion: TaskCompletion) {
+class FleetReconciler(
+    private val context: ControllerContext,
+    private val cloud: CloudClient,
+    taskEvents: TaskEventCommitter,
+) {
     private val rate = CloudRate(context.settings.cloudRps)
     private val demand = FleetDemand(context)
     private val rentals = RentalRequester(context, cloud, rate)
-    private val returns = MachineReturner(context, cloud, rate, completion)
+    private val returns = MachineReturner(context, cloud, rate, taskEvents)
 
     private var leading = false
     private var termSeen: ULong? = null
@@ -30,16 +34,16 @@
 
     fun run() {
         demand.watchArrivals()
-        if (!context.leads()) {
+        if (!context.leadership.isLeader()) {
             if (leading) forget()
             return
         }
         if (!leading) {
             leading = true
-            log.info("leader under term={}: dealing with the cloud", context.term())
+            log.info("leader under term={}: dealing with the cloud", context.leadership.term())
         }
-        if (context.term() != termSeen) {
-            termSeen = context.term()
+        if (context.leadership.term() != termSeen) {
+            termSeen = context.leadership.term()
             termSinceNs = context.nowNs
             if (context.view.machines.isNotEmpty()) {
                 nextPlanNs =
@@ -50,7 +54,9 @@
         rentals.ask()
         returns.run()
         if (context.nowNs >= nextPlanNs && context.view.machineTypes.isNotEmpty() && viewIsFresh()) {
-            nextPlanNs = context.nowNs + (context.settings.workers.reportS * PLAN_REPORTS * NANOS_PER_SECOND).toLong()
+            nextPlanNs =
+                context.nowNs +
+                (context.settings.workers.heartbeatIntervalS * PLAN_HEARTBEATS * NANOS_PER_SECOND).toLong()
             noteUp()
             retire()
             rent()
@@ -62,8 +68,8 @@
      * watch's answer was lost, a hundred rentals of the same machines were written, and for a minute the cloud was
      * asked for nothing else.
      */
-    private fun viewIsFresh(): Boolean = context.knowledge.within(
-        (context.settings.workers.reportS * FRESH_REPORTS * NANOS_PER_SECOND).toLong(),
+    private fun viewIsFresh(): Boolean = context.viewFreshness.within(
+        (context.settings.workers.heartbeatIntervalS * FRESH_HEARTBEATS * NANOS_PER_SECOND).toLong(),
         context.nowNs,
     )
 
@@ -76,7 +82,12 @@
     }
 
     private fun askFlavors() {
-        if (flavorsOpen || context.nowNs < nextFlavorsNs || context.isBusy(StoreKeys.TYPES)) return
+        if (flavorsOpen ||
+            context.nowNs < nextFlavorsNs ||
+            context.transactions.isWritePending(StoreKeys.MACHINE_TYPES)
+        ) {
+            return
+        }
         if (context.view.machineTypes.isNotEmpty() &&
             context.nowMs - context.view.flavorsAtMs < FLAVORS_S * MILLIS_PER_SECOND
         ) {
@@ -89,12 +100,14 @@
                 flavorsOpen = false
                 // Asked again soon until the view has them: their write may meet a new assignment, and without the
                 // types no user is served. What the view has is asked for again only when it is old.
-                nextFlavorsNs = context.nowNs + (context.settings.workers.reportS / 2 * NANOS_PER_SECOND).toLong()
-                if (got != null && context.leads()) {
+                nextFlavorsNs =
+                    context.nowNs + (context.settings.workers.heartbeatIntervalS / 2 * NANOS_PER_SECOND).toLong()
+                if (got != null && context.leadership.isLeader()) {
                     val conditions =
-                        TaskCompletion.fence(context) + (StoreKeys.TYPES to context.view.version(StoreKeys.TYPES))
-                    val put = Change.Put(StoreKeys.TYPES, FleetCodec.encodeFlavors(got.values, context.nowMs))
-                    context.commit(Cause.FLEET, Txn(conditions, listOf(put)))
+                        TaskEventCommitter.fence(context) +
+                            (StoreKeys.MACHINE_TYPES to context.view.version(StoreKeys.MACHINE_TYPES))
+                    val put = Change.Put(StoreKeys.MACHINE_TYPES, FleetCodec.encodeFlavors(got.values, context.nowMs))
+                    context.transactions.submit(WriteCause.FLEET, Transaction(conditions, listOf(put)))
                 }
             }
         }
@@ -106,25 +119,26 @@
     private fun retire() {
         val w = context.view
         val due = w.machines.values.mapNotNull(::retirement).associateBy { it.machine.name }
-        val most = context.budget.bulk(context.settings.stateLimits.txnOps)
+        val most = context.transactions.budget.bulk(context.settings.stateLimits.txnOps)
         val some = ReturnOrder.sort(context, due.values.map { it.machine }).take(most).mapNotNull { due[it.name] }
         if (some.isEmpty()) return
         val conditions =
-            TaskCompletion.fence(context) + some.associate { StoreKeys.HOST + it.machine.name to it.machine.version }
+            TaskEventCommitter.fence(context) +
+                some.associate { StoreKeys.MACHINE + it.machine.name to it.machine.version }
         val changes = some.map { r ->
             Change.Put(
-                StoreKeys.HOST + r.machine.name,
-                FleetCodec.encode(r.machine.copy(phase = r.phase, claim = null)),
+                StoreKeys.MACHINE + r.machine.name,
+                FleetCodec.encode(r.machine.copy(phase = r.phase, reservation = null)),
             )
         }
-        if (!context.commit(Cause.FLEET, Txn(conditions, changes))) return
+        if (!context.transactions.submit(WriteCause.FLEET, Transaction(conditions, changes))) return
         for (r in some) {
             log.info(
-                "host={} type={} zone={} term={} {} to be returned: {}",
+                "machine={} machine_type={} zone={} term={} {} to be returned: {}",
                 r.machine.name,
                 r.machine.machineType,
                 r.machine.zone,
-                context.term(),
+                context.leadership.term(),
                 r.phase,
                 r.why,
             )
@@ -132,7 +146,11 @@
     }
 
     private fun retirement(m: Machine): Retirement? {
-        if (m.phase == MachinePhase.RETIRING || context.isBusy(StoreKeys.HOST + m.name)) return null
+        if (m.phase == MachinePhase.RETIRING ||
+            context.transactions.isWritePending(StoreKeys.MACHINE + m.name)
+        ) {
+            return null
+        }
         if (context.zones?.mayReturn(m) == false) return null
         val why = reasonToRetire(m) ?: return null
         val phase = if (why == SURPLUS) MachinePhase.DRAINING else MachinePhase.RETIRING
@@ -143,7 +161,7 @@
         val w = context.view
         val machineType = w.machineTypes[m.machineType] ?: return null
         if (returns.failed(m.name)) return "listed as failed"
-        val room = w.hostRoom(m.name) ?: return null
+        val room = w.machineStatus(m.name) ?: return null
         val empty = w.isEmpty(m.name)
         val limit = context.settings.workers.cancelS * CANCEL_SHARE * MILLIS_PER_SECOND
         val overdue = if (w.halting.isEmpty()) {
@@ -152,16 +170,26 @@
             w.jobsOn(m.name).firstOrNull { j -> j.cancelledMs?.let { context.nowMs - it > limit } ?: false }
         }
         return when {
-            room.state == HostState.SILENT -> if (context.zones?.givesUp(m) == false) null else "silent"
-            room.state == HostState.FAULTY -> "faulty"
-            room.state == HostState.UNSEEN && empty && settled() && boot(m, machineType) == Boot.LOST -> "never came up"
+            room.state == MachineHealth.SILENT -> if (context.zones?.mayReleaseSilent(m) == false) null else "silent"
+            room.state == MachineHealth.FAULTY -> "faulty"
+            room.state == MachineHealth.UNSEEN &&
+                empty &&
+                settled() &&
+                boot(
+                    m,
+                    machineType,
+                ) == Boot.LOST -> "never came up"
             overdue != null -> "cancelled ${overdue.id} is still on it"
             else -> {
                 val idle = idleSinceNs[m.name]
-                val keep = machineType.readyS * context.operator.keepIdleBoots
+                val keep = machineType.bootTimeS * context.operator.keepIdleBoots
                 when {
                     m.phase == MachinePhase.DRAINING -> if (empty) "drained" else null
-                    idle == null || w.claimOn(m) != null || context.nowNs - idle <= keep * NANOS_PER_SECOND -> null
+                    idle == null ||
+                        w.activeReservation(
+                            m,
+                        ) != null ||
+                        context.nowNs - idle <= keep * NANOS_PER_SECOND -> null
                     empty -> "idle"
                     else -> SURPLUS
                 }
@@ -175,12 +203,12 @@
     } else {
         Boot.of(
             (context.nowMs - m.sinceMs) / MILLIS_PER_SECOND,
-            machineType.readyS,
+            machineType.bootTimeS,
             (lastUpMs[m.machineType] ?: 0L) >= m.sinceMs,
         )
     }
 
-    private fun cameUp(m: Machine) = (context.view.lastRoom(m.name)?.session ?: 0uL) > 0uL
+    private fun cameUp(m: Machine) = (context.view.lastKnownStatus(m.name)?.incarnation ?: 0uL) > 0uL
 
     /** When the latest rented of the machines that are up was rented, by type. */
     private val lastUpMs = HashMap<String, Long>()
@@ -200,13 +228,13 @@
         val w = context.view
         val bins = ArrayList<Bin>()
         val now = context.nowNs
-        val term = context.term()
+        val term = context.leadership.term()
         for (m in w.machines.values.sortedBy { it.name }) {
-            if (!m.takesWork || w.claimOn(m) != null || context.zones?.isReachable(m) == false) continue
-            val state = w.hostRoom(m.name)?.state ?: HostState.UNSEEN
-            if (state != HostState.OK && state != HostState.UNSEEN) continue
+            if (!m.takesWork || w.activeReservation(m) != null || context.zones?.isReachable(m) == false) continue
+            val state = w.machineStatus(m.name)?.state ?: MachineHealth.UNSEEN
+            if (state != MachineHealth.OK && state != MachineHealth.UNSEEN) continue
             // Room that keeps not coming is not waited for: what is needed is rented in its place, once.
-            if (state == HostState.UNSEEN &&
+            if (state == MachineHealth.UNSEEN &&
                 w.machineTypes[m.machineType]?.let { boot(m, it) != Boot.COMING } ?: false
             ) {
                 continue
@@ -219,15 +247,15 @@
         }
         // Machines that save a booting one come first: cheap kinds before ordinary ones.
         // Among the ordinary ones those with images, so that spares are kept where gangs start soonest.
-        val images = bins.associateWith { b -> b.host?.let(w::hostRoom)?.images?.size ?: 0 }
+        val images = bins.associateWith { b -> b.machineName?.let(w::machineStatus)?.images?.size ?: 0 }
         bins.sortWith(compareBy({ if (it.preemptible) 0 else 1 }, { -images.getValue(it) }))
         val mostNew =
             maxOf(
-                RentalRequester.MOST_PER_RENTAL,
+                RentalRequester.MAX_PER_RENTAL,
                 (
-                    context.settings.cloudRps * RentalRequester.MOST_PER_RENTAL *
-                        context.settings.workers.reportS *
-                        PLAN_REPORTS
+                    context.settings.cloudRps * RentalRequester.MAX_PER_RENTAL *
+                        context.settings.workers.heartbeatIntervalS *
+                        PLAN_HEARTBEATS
                     ).toInt(),
             )
         val mayRent = HashMap<String, Int>()
@@ -237,14 +265,14 @@
             bins,
             w.machineTypes,
             mostNew,
-            context.reserved::rents,
+            context.scheduling.reservations::rents,
             load(),
         ) { o ->
             val f = w.machineTypes[o.machineType]
             if (f == null || rentals.isRefused(o) || roomIn(o.zone) <= 0) {
                 null
             } else if (o.preemptible) {
-                f.lowRate
+                f.spotPricePerHour
             } else {
                 f.rate
             }
@@ -260,12 +288,12 @@
             val idle = m.takesWork &&
                 m.name !in packing.usedHosts &&
                 (w.isEmpty(m.name) || !backlog && w.jobsOn(m.name).all { guest(it, m) }) &&
-                w.hostRoom(m.name)?.state == HostState.OK
+                w.machineStatus(m.name)?.state == MachineHealth.OK
             if (idle) idleSinceNs.putIfAbsent(m.name, now) else idleSinceNs.remove(m.name)
         }
         idleSinceNs.keys.retainAll(w.machines.keys)
         for ((offer, wanted) in packing.rent) {
-            val n = minOf(wanted, RentalRequester.MOST_PER_RENTAL, roomIn(offer.zone))
+            val n = minOf(wanted, RentalRequester.MAX_PER_RENTAL, roomIn(offer.zone))
             if (n <= 0) continue
             mayRent[offer.zone] = roomIn(offer.zone) - n
             rentals.want(offer, n)
@@ -282,23 +310,23 @@
         return Load { zone, more -> ((machines[zone] ?: 0) + more).toDouble() / maxOf(1, nodes[zone] ?: 0) }
     }
 
-    private fun guest(j: Job, m: Machine) = context.reserved.guests(j.spec, m.machineType, m.preemptible)
+    private fun guest(j: Job, m: Machine) = context.scheduling.reservations.guests(j.spec, m.machineType, m.preemptible)
 
     /** What a machine has free once its guests have made way: with them counted, spares were rented twice. */
-    private fun roomWithoutGuests(m: Machine): Room? {
+    private fun roomWithoutGuests(m: Machine): Resources? {
         val free = context.view.free(m) ?: return null
         return context.view.jobsOn(m.name).filter { guest(it, m) }
-            .fold(free) { room, j -> room + j.spec.need * context.view.countOn(m.name, j.id) }
+            .fold(free) { room, j -> room + j.spec.taskResources * context.view.countOn(m.name, j.id) }
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.fleet")
         const val SURPLUS = "surplus"
         const val FLAVORS_S = 60.0
-        const val PLAN_REPORTS = 0.4
+        const val PLAN_HEARTBEATS = 0.4
 
         /** How old the view may be for a plan, in report intervals: a lost answer is asked for again within one. */
-        const val FRESH_REPORTS = 1.5
+        const val FRESH_HEARTBEATS = 1.5
 
         /**
          * The first plan under a term waits this share of a lease: until workers have reported it could only guess, and
--- a/src/main/kotlin/flaxfield/fleet/FleetRules.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetRules.kt
@@ -1,25 +1,31 @@
 package flaxfield.fleet
 
-import flaxfield.arrays.ZoneRule
+import flaxfield.arrays.TopologyConstraint
+import flaxfield.jobs.JobKind
 import flaxfield.jobs.JobSpec
-import flaxfield.jobs.Room
-import flaxfield.jobs.Shape
+import flaxfield.jobs.Resources
 import flaxfield.quota.JobOrder
 
 /** Room that is there or on its way, as the demand is packed into it. */
-class Bin(val host: String?, val machineType: String, val zone: String, val preemptible: Boolean, var free: Room)
+class Bin(
+    val machineName: String?,
+    val machineType: String,
+    val zone: String,
+    val preemptible: Boolean,
+    var free: Resources,
+)
 
 /** A kind of machine to ask for in one zone. */
 data class Offer(val machineType: String, val zone: String, val preemptible: Boolean)
 
 /** Queued work as the fleet sees it: [tasks] more tasks like those of [spec]. */
-data class Demand(
+data class CapacityDemand(
     val spec: JobSpec,
     val tasks: Int,
     /** It has waited so long that machines of the ordinary kind may be rented though cheap ones would do. */
-    val pressing: Boolean = false,
+    val isUrgent: Boolean = false,
     /** It has waited so long that it may use any machine that is there, also one kept for others. */
-    val waitedLong: Boolean = false,
+    val isStarved: Boolean = false,
 )
 
 /** The result of packing: machines to rent, and the hosts that the demand would use. */
@@ -43,7 +49,7 @@
      * the least [load] is taken.
      */
     fun pack(
-        demands: List<Demand>,
+        demands: List<CapacityDemand>,
         bins: List<Bin>,
         machineTypes: Map<String, MachineType>,
         mostNew: Int,
@@ -57,7 +63,7 @@
         var new = 0
         val least = least(demands)
         for (d in demands) {
-            val rule = ZoneRule(d.spec, emptyList())
+            val rule = TopologyConstraint(d.spec, emptyList())
             val zone = if (d.spec.sameZone && d.tasks > 1) zone(d, open, suits) else null
             var tasks = d.tasks
             var next = 0
@@ -92,14 +98,14 @@
                 }
                 val bin = open[next]
                 // With scatter each task may change where the next one is allowed.
-                val n = if (d.spec.scatter) 1 else minOf(tasks, bin.free.count(d.spec.need))
-                bin.free -= d.spec.need * n
-                bin.host?.let(used::add)
+                val n = if (d.spec.spreadAcrossZones) 1 else minOf(tasks, bin.free.countFitting(d.spec.taskResources))
+                bin.free -= d.spec.taskResources * n
+                bin.machineName?.let(used::add)
                 rule.add(bin.zone)
                 tasks -= n
             }
             // Full machines are looked at no more: there are hundreds of them, and hundreds of demands.
-            open.removeIf { !it.free.holds(least) }
+            open.removeIf { !it.free.canHold(least) }
         }
         return Packing(rent, used)
     }
@@ -139,20 +145,20 @@
      * Small demands of one kind taken as one, each task as large as the largest: a swarm's thousand jobs, packed one by
      * one into hundreds of machines, took the leader's whole share.
      */
-    fun together(demands: List<Demand>): List<Demand> {
-        val merged = LinkedHashMap<Any, Demand>()
+    fun together(demands: List<CapacityDemand>): List<CapacityDemand> {
+        val merged = LinkedHashMap<Any, CapacityDemand>()
         for ((n, d) in demands.withIndex()) {
             val s = d.spec
-            val small = d.tasks <= SMALL_TASKS && s.shape == Shape.ARRAY && !s.sameZone && !s.scatter
+            val small = d.tasks <= SMALL_TASKS && s.jobKind == JobKind.ARRAY && !s.sameZone && !s.spreadAcrossZones
             val kind: Any = if (small) {
                 listOf(
                     s.jobClass,
-                    s.owner,
+                    s.team,
                     s.machineTypes,
                     s.zone,
                     s.preemptible,
-                    d.pressing,
-                    d.waitedLong,
+                    d.isUrgent,
+                    d.isStarved,
                 )
             } else {
                 n
@@ -163,44 +169,52 @@
         return merged.values.toList()
     }
 
-    private fun Demand.and(d: Demand): Demand {
-        val a = spec.need
-        val b = d.spec.need
-        val need = Room(maxOf(a.cpus, b.cpus), maxOf(a.gpus, b.gpus), maxOf(a.ram, b.ram))
-        return copy(spec = spec.copy(need = need), tasks = tasks + d.tasks)
+    private fun CapacityDemand.and(d: CapacityDemand): CapacityDemand {
+        val a = spec.taskResources
+        val b = d.spec.taskResources
+        val taskResources = Resources(maxOf(a.cpus, b.cpus), maxOf(a.gpus, b.gpus), maxOf(a.ram, b.ram))
+        return copy(spec = spec.copy(taskResources = taskResources), tasks = tasks + d.tasks)
     }
 
     private const val SMALL_TASKS = 4
 
     /** No demand takes less than this. */
-    private fun least(demands: List<Demand>) = Room(
-        demands.minOfOrNull { it.spec.need.cpus } ?: 0.0,
-        demands.minOfOrNull { it.spec.need.gpus } ?: 0.0,
-        demands.minOfOrNull { it.spec.need.ram } ?: 0.0,
+    private fun least(demands: List<CapacityDemand>) = Resources(
+        demands.minOfOrNull { it.spec.taskResources.cpus } ?: 0.0,
+        demands.minOfOrNull { it.spec.taskResources.gpus } ?: 0.0,
+        demands.minOfOrNull { it.spec.taskResources.ram } ?: 0.0,
     )
 
     /** The zone that has room for most of a job whose tasks must be together; null if none has any. */
-    private fun zone(d: Demand, bins: List<Bin>, suits: Suits): String? {
-        val rule = ZoneRule(d.spec, emptyList())
+    private fun zone(d: CapacityDemand, bins: List<Bin>, suits: Suits): String? {
+        val rule = TopologyConstraint(d.spec, emptyList())
         val room = HashMap<String, Int>()
         for (b in bins) {
-            if (takes(b, d, rule, suits)) room.merge(b.zone, minOf(d.tasks, b.free.count(d.spec.need)), Int::plus)
+            if (takes(
+                    b,
+                    d,
+                    rule,
+                    suits,
+                )
+            ) {
+                room.merge(b.zone, minOf(d.tasks, b.free.countFitting(d.spec.taskResources)), Int::plus)
+            }
         }
         return room.maxByOrNull { minOf(it.value, d.tasks) }?.key
     }
 
-    private fun takes(bin: Bin, d: Demand, rule: ZoneRule, suits: Suits): Boolean =
-        ZoneRule.kindAllowed(d.spec, bin.machineType, bin.zone, bin.preemptible) &&
-            (d.waitedLong && bin.host != null || suits(d.spec, bin.machineType, bin.preemptible)) &&
-            bin.free.holds(d.spec.need) &&
+    private fun takes(bin: Bin, d: CapacityDemand, rule: TopologyConstraint, suits: Suits): Boolean =
+        TopologyConstraint.allowsMachineKind(d.spec, bin.machineType, bin.zone, bin.preemptible) &&
+            (d.isStarved && bin.machineName != null || suits(d.spec, bin.machineType, bin.preemptible)) &&
+            bin.free.canHold(d.spec.taskResources) &&
             rule.allows(bin.zone)
 
     /** The offer with the lowest price per task that it will really run. */
     private fun best(
-        demand: Demand,
+        demand: CapacityDemand,
         tasks: Int,
         machineTypes: Map<String, MachineType>,
-        rule: ZoneRule,
+        rule: TopologyConstraint,
         suits: Suits,
         load: (String) -> Double,
         price: (Offer) -> Double?,
@@ -208,7 +222,7 @@
         val spec = demand.spec
         val kinds = if (!spec.preemptible) {
             listOf(false)
-        } else if (demand.pressing) {
+        } else if (demand.isUrgent) {
             listOf(true, false)
         } else {
             listOf(true)
@@ -218,7 +232,7 @@
         var lightest = Double.MAX_VALUE
         for (f in machineTypes.values) {
             if (spec.machineTypes != null && f.label !in spec.machineTypes) continue
-            val fits = minOf(f.room.count(spec.need), tasks)
+            val fits = minOf(f.room.countFitting(spec.taskResources), tasks)
             if (fits <= 0) continue
             for (zone in f.zones) {
                 if (!rule.allows(zone)) continue
@@ -246,14 +260,14 @@
         leadS: (JobSpec) -> Double,
         gangFactor: Double,
         arrayFactor: Double,
-    ): List<Demand> = classes.mapNotNull { c ->
+    ): List<CapacityDemand> = classes.mapNotNull { c ->
         val factor = when {
-            c.latest.shape == Shape.GANG -> gangFactor
+            c.latest.jobKind == JobKind.GANG -> gangFactor
             c.latest.preemptible -> arrayFactor
             else -> 0.0
         }
         val n = Math.ceil(c.tasksPerS * leadS(c.latest) * factor).toInt()
-        if (n > 0) Demand(c.latest, n) else null
+        if (n > 0) CapacityDemand(c.latest, n) else null
     }
 }
 
--- a/src/main/kotlin/flaxfield/fleet/Machine.kt
+++ b/src/main/kotlin/flaxfield/fleet/Machine.kt
@@ -1,18 +1,18 @@
 package flaxfield.fleet
 
-import flaxfield.codec.Obj
-import flaxfield.jobs.Room
+import flaxfield.codec.FieldMap
+import flaxfield.jobs.Resources
 import flaxfield.store.StoreKeys
 
 /** A machine type as the cloud offers it. */
 data class MachineType(
     val label: String,
-    val room: Room,
+    val room: Resources,
     val cacheGb: Double,
     val fetchGbPerS: Double,
     val rate: Double,
-    val lowRate: Double,
-    val readyS: Double,
+    val spotPricePerHour: Double,
+    val bootTimeS: Double,
     val zones: List<String>,
 )
 
@@ -30,7 +30,7 @@
  * A room claimed for a gang by the leader. It is void under any other term than the one it was made in, and once
  * the gang's [attempt] is placed or the gang is over: nobody has to write the machine's record again to free it.
  */
-data class Claim(val job: String, val term: ULong, val tasks: Int, val evict: Boolean, val attempt: Long)
+data class MachineReservation(val job: String, val term: ULong, val tasks: Int, val evict: Boolean, val attempt: Long)
 
 /** A machine we pay for, from its rental to the answer to its return. */
 data class Machine(
@@ -40,7 +40,7 @@
     val preemptible: Boolean,
     val phase: MachinePhase,
     val sinceMs: Long,
-    val claim: Claim?,
+    val reservation: MachineReservation?,
     val version: ULong,
     /** The drain that keeps new work off this machine; null if none does. */
     val cordon: String? = null,
@@ -67,22 +67,22 @@
         "lendable" to m.preemptible,
         "phase" to m.phase.name.lowercase(),
         "at" to m.sinceMs,
-        "claim" to m.claim?.let {
+        "claim" to m.reservation?.let {
             mapOf("job" to it.job, "term" to it.term, "tasks" to it.tasks, "evict" to it.evict, "try" to it.attempt)
         },
     ) + (m.cordon?.let { mapOf("cordon" to it) } ?: emptyMap())
 
-    fun machine(o: Obj, key: String, version: ULong) = Machine(
-        key.removePrefix(StoreKeys.HOST),
-        o.needText("flavor"),
-        o.needText("site"),
-        o.needFlag("lendable"),
-        MachinePhase.valueOf(o.needText("phase").uppercase()),
-        o.needCount("at").toLong(),
+    fun machine(o: FieldMap, key: String, version: ULong) = Machine(
+        key.removePrefix(StoreKeys.MACHINE),
+        o.requireText("flavor"),
+        o.requireText("site"),
+        o.requireBoolean("lendable"),
+        MachinePhase.valueOf(o.requireText("phase").uppercase()),
+        o.requireUnsigned("at").toLong(),
         o.obj("claim")?.let {
-            Claim(
-                it.needText("job"),
-                it.needCount("term"),
+            MachineReservation(
+                it.requireText("job"),
+                it.requireUnsigned("term"),
                 it.int("tasks") ?: 1,
                 it.flag("evict") ?: false,
                 it.count("try")?.toLong() ?: 0L,
@@ -100,13 +100,13 @@
         "at" to h.sinceMs,
     )
 
-    fun hire(o: Obj, key: String, version: ULong) = Rental(
-        key.removePrefix(StoreKeys.HIRE),
-        o.needText("flavor"),
-        o.needText("site"),
-        o.needFlag("lendable"),
-        o.needInt("count"),
-        o.needCount("at").toLong(),
+    fun hire(o: FieldMap, key: String, version: ULong) = Rental(
+        key.removePrefix(StoreKeys.RENTAL),
+        o.requireText("flavor"),
+        o.requireText("site"),
+        o.requireBoolean("lendable"),
+        o.requireInt("count"),
+        o.requireUnsigned("at").toLong(),
         version,
     )
 
@@ -116,22 +116,22 @@
             mapOf(
                 "label" to it.label, "vcpus" to it.room.cpus, "accelerators" to it.room.gpus,
                 "ram_gb" to it.room.ram, "local_gb" to it.cacheGb, "pull_gb_per_s" to it.fetchGbPerS,
-                "rate" to it.rate, "low_price" to it.lowRate, "ready_s" to it.readyS, "sites" to it.zones,
+                "rate" to it.rate, "low_price" to it.spotPricePerHour, "ready_s" to it.bootTimeS, "sites" to it.zones,
             )
         },
     )
 
     /** Reads the cloud's answer, or our own copy of it: both have the same shape. */
-    fun machineTypes(o: Obj): Map<String, MachineType> = o.objs("flavors").map {
+    fun machineTypes(o: FieldMap): Map<String, MachineType> = o.mapList("flavors").map {
         MachineType(
-            it.needText("label"),
-            Room(it.needNumber("vcpus"), it.needNumber("accelerators"), it.needNumber("ram_gb")),
+            it.requireText("label"),
+            Resources(it.requireNumber("vcpus"), it.requireNumber("accelerators"), it.requireNumber("ram_gb")),
             it.number("local_gb") ?: 0.0,
             it.number("pull_gb_per_s") ?: 1.0,
-            it.needNumber("rate"),
-            it.number("low_price") ?: it.needNumber("rate"),
-            it.needNumber("ready_s"),
-            it.texts("sites").orEmpty(),
+            it.requireNumber("rate"),
+            it.number("low_price") ?: it.requireNumber("rate"),
+            it.requireNumber("ready_s"),
+            it.textList("sites").orEmpty(),
         )
     }.associateBy { it.label }
 }
--- a/src/main/kotlin/flaxfield/fleet/MachineReturner.kt
+++ b/src/main/kotlin/flaxfield/fleet/MachineReturner.kt
@@ -1,21 +1,21 @@
 package flaxfield.fleet
 
 import flaxfield.NANOS_PER_SECOND
-import flaxfield.jobs.TaskCompletion
+import flaxfield.controller.ControllerContext
 import flaxfield.jobs.TaskEvent
-import flaxfield.node.NodeContext
-import flaxfield.store.Cause
+import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
-import flaxfield.store.Txn
+import flaxfield.store.Transaction
+import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
 /** The leader's returns, and the cloud's list, which tells of machines that have stopped or that nobody knows. */
 class MachineReturner(
-    private val context: NodeContext,
+    private val context: ControllerContext,
     private val cloud: CloudClient,
     private val rate: CloudRate,
-    private val completion: TaskCompletion,
+    private val taskEvents: TaskEventCommitter,
 ) {
     /** A page of the list has been asked for. */
     private var listOpen = false
@@ -23,7 +23,7 @@
     /** The list that is being read; null between two lists. */
     private var reading: ListSoFar? = null
     private var nextListNs = 0L
-    private class ListSoFar(val from: String?, val hosts: List<Listed>)
+    private class ListSoFar(val from: String?, val hosts: List<ListedMachine>)
 
     private var returnOpen = false
     private val unknownMachines = UnknownMachines()
@@ -53,8 +53,8 @@
         nextListNs = 0
     }
 
-    /** Whether the cloud has listed [host] as stopped by itself. */
-    fun failed(host: String): Boolean = host in failed
+    /** Whether the cloud has listed [machineName] as stopped by itself. */
+    fun failed(machineName: String): Boolean = machineName in failed
 
     /**
      * Asks for the next page. Each page is a request: asked for at once, those of a large fleet were refused for their
@@ -75,16 +75,22 @@
             return
         }
         val hosts = before.hosts + page.hosts
-        if (page.more && page.hosts.isNotEmpty()) reading = ListSoFar(page.hosts.last().host, hosts) else listed(hosts)
+        if (page.more &&
+            page.hosts.isNotEmpty()
+        ) {
+            reading = ListSoFar(page.hosts.last().machineName, hosts)
+        } else {
+            listed(hosts)
+        }
     }
 
     /** The list lags, so it is a hint, but for `failed`: a machine that has stopped by itself stays so. */
-    private fun listed(hosts: List<Listed>) {
+    private fun listed(hosts: List<ListedMachine>) {
         nextListNs = context.nowNs + (context.settings.listLagS * LIST_LAGS * NANOS_PER_SECOND).toLong()
         for (l in hosts) {
-            if (l.failed && l.host in context.view.machines) failed += l.host
+            if (l.failed && l.machineName in context.view.machines) failed += l.machineName
         }
-        unknownMachines.listed(hosts.map { it.host }, context.view.machines.keys, context.nowNs)
+        unknownMachines.listed(hosts.map { it.machineName }, context.view.machines.keys, context.nowNs)
     }
 
     /** Returns what is marked as retiring, and machines listed for long that nobody knows. */
@@ -94,18 +100,19 @@
         val unknown = unknownMachines.due(context.view.machines.keys, context.nowNs - limit)
         val retiring = context.view.machines.values
             .filter {
-                it.phase == MachinePhase.RETIRING && it.name !in gone && !context.isBusy(StoreKeys.HOST + it.name)
+                it.phase == MachinePhase.RETIRING && it.name !in gone &&
+                    !context.transactions.isWritePending(StoreKeys.MACHINE + it.name)
             }
             .filter { context.zones?.mayReturn(it) ?: true }
             .let { ReturnOrder.sort(context, it) }
             .map { it.name }
-        val names = (retiring + unknown).take(MOST_RETURNED)
+        val names = (retiring + unknown).take(MAX_RETURNED)
         if (names.isEmpty() || !rate.allows(context.nowNs)) return
         returnOpen = true
         cloud.giveBack(names) { ok ->
             context.post {
                 returnOpen = false
-                log.info("hosts={} returned, answered={}", names, ok)
+                log.info("machines={} returned, answered={}", names, ok)
                 if (ok) returned(names)
             }
         }
@@ -116,24 +123,24 @@
      * since each placement carries the machine's version, and its retirement has changed that.
      */
     private fun returned(hosts: List<String>) {
-        for (host in hosts) {
-            unknownMachines.forget(host)
-            failed.remove(host)
-            val m = context.view.machines[host] ?: continue
-            if (!context.leads()) continue
+        for (machineName in hosts) {
+            unknownMachines.forget(machineName)
+            failed.remove(machineName)
+            val m = context.view.machines[machineName] ?: continue
+            if (!context.leadership.isLeader()) continue
             // One that was taken in while its return as a stranger was under way may still be given tasks: it is
             // returned anew.
-            if (m.phase == MachinePhase.RETIRING) gone += host
-            for (r in context.view.on(host)) {
-                completion.add(
-                    TaskEvent.Left(
+            if (m.phase == MachinePhase.RETIRING) gone += machineName
+            for (r in context.view.on(machineName)) {
+                taskEvents.add(
+                    TaskEvent.Lost(
                         r.job.id,
                         r.placed.index,
                         r.placed.attempt,
-                        host,
+                        machineName,
                         "machine returned",
                         false,
-                        fateUnknown = true,
+                        outcomeUnknown = true,
                     ),
                 )
             }
@@ -148,16 +155,17 @@
         gone.retainAll(w.machines.keys)
         val empty = gone.mapNotNull { w.machines[it] }.filter {
             w.isEmpty(it.name) &&
-                !context.isBusy(StoreKeys.HOST + it.name)
+                !context.transactions.isWritePending(StoreKeys.MACHINE + it.name)
         }
-        for (some in empty.chunked(context.budget.bulk(context.settings.stateLimits.txnOps))) {
-            val conditions = TaskCompletion.fence(context) + some.associate { StoreKeys.HOST + it.name to it.version }
-            if (!context.commit(
-                    Cause.FLEET,
-                    Txn(
+        for (some in empty.chunked(context.transactions.budget.bulk(context.settings.stateLimits.txnOps))) {
+            val conditions =
+                TaskEventCommitter.fence(context) + some.associate { StoreKeys.MACHINE + it.name to it.version }
+            if (!context.transactions.submit(
+                    WriteCause.FLEET,
+                    Transaction(
                         conditions,
                         some.map {
-                            Change.Drop(StoreKeys.HOST + it.name)
+                            Change.Delete(StoreKeys.MACHINE + it.name)
                         },
                     ),
                 )
@@ -175,6 +183,6 @@
         const val GONE_LISTED_S = 30.0
 
         /** PROTOCOL-flaxfield.md: at most so many names a return. */
-        const val MOST_RETURNED = 100
+        const val MAX_RETURNED = 100
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/RentalRequester.kt
+++ b/src/main/kotlin/flaxfield/fleet/RentalRequester.kt
@@ -1,19 +1,23 @@
 package flaxfield.fleet
 
 import flaxfield.NANOS_PER_SECOND
-import flaxfield.jobs.TaskCompletion
-import flaxfield.node.NodeContext
-import flaxfield.store.Cause
+import flaxfield.controller.ControllerContext
+import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
-import flaxfield.store.Txn
+import flaxfield.store.Transaction
+import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
 /**
  * The leader's rentals, from the record of what is wanted over the cloud's answer to the records of the machines. Each
  * is written down before it is sent, so that a new leader asks again under the same name.
  */
-class RentalRequester(private val context: NodeContext, private val cloud: CloudClient, private val rate: CloudRate) {
+class RentalRequester(
+    private val context: ControllerContext,
+    private val cloud: CloudClient,
+    private val rate: CloudRate,
+) {
     private class Refusal(val untilNs: Long, val times: Int)
 
     private var requests = 0
@@ -42,7 +46,7 @@
         asking.keys.retainAll(context.view.rentals.keys)
         granted.keys.retainAll(context.view.rentals.keys)
         for (h in context.view.rentals.values.toList()) {
-            if (context.isBusy(StoreKeys.HIRE + h.name)) continue
+            if (context.transactions.isWritePending(StoreKeys.RENTAL + h.name)) continue
             if (h.name in granted) {
                 record(h)
                 continue
@@ -54,9 +58,9 @@
         }
     }
 
-    private fun rented(h: Rental, r: Rented) {
+    private fun rented(h: Rental, r: RentalResponse) {
         log.info(
-            "hire={} type={} zone={} preemptible={} count={} answer={}",
+            "rental={} machine_type={} zone={} preemptible={} count={} answer={}",
             h.name,
             h.machineType,
             h.zone,
@@ -64,16 +68,16 @@
             h.count,
             r,
         )
-        asking[h.name] = context.nowNs + (context.settings.workers.reportS / 2 * NANOS_PER_SECOND).toLong()
+        asking[h.name] = context.nowNs + (context.settings.workers.heartbeatIntervalS / 2 * NANOS_PER_SECOND).toLong()
         val offer = Offer(h.machineType, h.zone, h.preemptible)
         when (r) {
-            is Rented.Unclear -> return
-            is Rented.NoCapacity, is Rented.Malformed -> refuse(offer)
-            is Rented.Hosts -> if (r.names.size < h.count) refuse(offer) else refused.remove(offer)
+            is RentalResponse.Unclear -> return
+            is RentalResponse.NoCapacity, is RentalResponse.Malformed -> refuse(offer)
+            is RentalResponse.Granted -> if (r.names.size < h.count) refuse(offer) else refused.remove(offer)
         }
         // A clear answer is not asked for again while it is being written down.
-        granted[h.name] = (r as? Rented.Hosts)?.names.orEmpty()
-        if (context.leads()) context.view.rentals[h.name]?.let(::record)
+        granted[h.name] = (r as? RentalResponse.Granted)?.names.orEmpty()
+        if (context.leadership.isLeader()) context.view.rentals[h.name]?.let(::record)
     }
 
     /**
@@ -82,20 +86,20 @@
      */
     private fun record(h: Rental) {
         val names = granted[h.name].orEmpty()
-        if (names.any { context.isBusy(StoreKeys.HOST + it) }) return
+        if (names.any { context.transactions.isWritePending(StoreKeys.MACHINE + it) }) return
         val left = names.filter { it !in context.view.machines }
         // The hire is dropped with the last of its hosts, so that none is forgotten in between.
-        val room = context.budget.bulk(context.settings.stateLimits.txnOps - 1)
+        val room = context.transactions.budget.bulk(context.settings.stateLimits.txnOps - 1)
         val some = left.take(room)
         val changes = some.map {
             val m = Machine(it, h.machineType, h.zone, h.preemptible, MachinePhase.UP, context.nowMs, null, 0uL)
-            Change.Put(StoreKeys.HOST + it, FleetCodec.encode(m))
+            Change.Put(StoreKeys.MACHINE + it, FleetCodec.encode(m))
         }
-        val last = if (left.size <= room) listOf(Change.Drop(StoreKeys.HIRE + h.name)) else emptyList()
+        val last = if (left.size <= room) listOf(Change.Delete(StoreKeys.RENTAL + h.name)) else emptyList()
         val conditions =
-            TaskCompletion.fence(context) + (StoreKeys.HIRE + h.name to h.version) +
-                some.associate { StoreKeys.HOST + it to 0uL }
-        context.commit(Cause.FLEET, Txn(conditions, changes + last))
+            TaskEventCommitter.fence(context) + (StoreKeys.RENTAL + h.name to h.version) +
+                some.associate { StoreKeys.MACHINE + it to 0uL }
+        context.transactions.submit(WriteCause.FLEET, Transaction(conditions, changes + last))
     }
 
     private fun refuse(offer: Offer) {
@@ -108,7 +112,7 @@
     fun want(offer: Offer, n: Int) {
         val h =
             Rental(
-                "${context.me.name}-${context.me.incarnation}-${++requests}",
+                "${context.self.name}-${context.self.incarnation}-${++requests}",
                 offer.machineType,
                 offer.zone,
                 offer.preemptible,
@@ -116,20 +120,20 @@
                 context.nowMs,
                 0uL,
             )
-        val conditions = TaskCompletion.fence(context) + (StoreKeys.HIRE + h.name to 0uL)
-        val sent = context.commit(
-            Cause.FLEET,
-            Txn(conditions, listOf(Change.Put(StoreKeys.HIRE + h.name, FleetCodec.encode(h)))),
+        val conditions = TaskEventCommitter.fence(context) + (StoreKeys.RENTAL + h.name to 0uL)
+        val sent = context.transactions.submit(
+            WriteCause.FLEET,
+            Transaction(conditions, listOf(Change.Put(StoreKeys.RENTAL + h.name, FleetCodec.encode(h)))),
         )
         if (sent) {
             log.info(
-                "hire={} type={} zone={} preemptible={} count={} term={} wanted",
+                "rental={} machine_type={} zone={} preemptible={} count={} term={} wanted",
                 h.name,
                 h.machineType,
                 h.zone,
                 h.preemptible,
                 n,
-                context.term(),
+                context.leadership.term(),
             )
         }
     }
@@ -139,6 +143,6 @@
         private const val REFUSED_DOUBLINGS = 3
 
         /** PROTOCOL-flaxfield.md: at most so many machines a rental. */
-        const val MOST_PER_RENTAL = 50
+        const val MAX_PER_RENTAL = 50
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/ReturnOrder.kt
+++ b/src/main/kotlin/flaxfield/fleet/ReturnOrder.kt
@@ -1,6 +1,6 @@
 package flaxfield.fleet
 
-import flaxfield.node.NodeContext
+import flaxfield.controller.ControllerContext
 
 /** In which order machines are returned. */
 object ReturnOrder {
@@ -9,14 +9,18 @@
      * they did for minutes. While a zone is lost or returning, those with the most urgent tasks first, in the order in
      * which tasks are served.
      */
-    fun sort(context: NodeContext, machines: List<Machine>): List<Machine> {
+    fun sort(context: ControllerContext, machines: List<Machine>): List<Machine> {
         val view = context.view
         val zones =
             context.zones?.takeIf { it.isRecovering && machines.size > 1 }
                 ?: return machines.sortedBy { view.isEmpty(it.name) }
         val jobs = machines.associate { it.name to view.jobsOn(it.name) }
         val displaced = jobs.values.flatten().distinctBy { it.id }
-        val places = zones.sort(displaced, context.use(), lateMs = 0).withIndex().associate { (place, job) ->
+        val places = zones.sort(
+            displaced,
+            context.scheduling.teamUsage(),
+            overdueBeforeMs = 0,
+        ).withIndex().associate { (place, job) ->
             job.id to
                 place
         }
--- a/src/main/kotlin/flaxfield/fleet/UnknownMachines.kt
+++ b/src/main/kotlin/flaxfield/fleet/UnknownMachines.kt
@@ -19,10 +19,10 @@
      * that told of it as a stranger, and returned with its tasks while the next list was long in coming.
      */
     fun due(known: Set<String>, beforeNs: Long): List<String> =
-        sinceNs.filter { (host, since) -> since < beforeNs && host !in known }.keys.sorted()
+        sinceNs.filter { (machineName, since) -> since < beforeNs && machineName !in known }.keys.sorted()
 
-    fun forget(host: String) {
-        sinceNs.remove(host)
+    fun forget(machineName: String) {
+        sinceNs.remove(machineName)
     }
 
     fun clear() = sinceNs.clear()
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobLookup.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobLookup.kt
@@ -1,28 +1,28 @@
 package flaxfield.jobs
 
 import flaxfield.NANOS_PER_MILLI
-import flaxfield.node.NodeContext
-import flaxfield.store.Cause
-import flaxfield.store.Read
+import flaxfield.controller.ControllerContext
+import flaxfield.store.ReadResult
 import flaxfield.store.StoreKeys
+import flaxfield.store.WriteCause
 
 /** What the store says of a job that is not in the view. */
-sealed interface Ended {
-    data class Known(val job: Finished) : Ended
+sealed interface FinishedJobResult {
+    data class Known(val job: FinishedJob) : FinishedJobResult
 
     /** Never accepted. */
-    data object Absent : Ended
+    data object Absent : FinishedJobResult
 
     /** Not found out: too many ask, or the store does not answer. */
-    data object Unclear : Ended
+    data object Unclear : FinishedJobResult
 }
 
 /**
  * Looks for jobs among those that are over. One comparison asks for many ids at once, and only those that it finds are
  * read: asked one by one, polls for ids that nobody submitted used up the node's requests.
  */
-class FinishedJobLookup(private val context: NodeContext, private val found: (Finished) -> Unit) {
-    private class Ask(val sinceNs: Long, val done: (Ended) -> Unit)
+class FinishedJobLookup(private val context: ControllerContext, private val found: (FinishedJob) -> Unit) {
+    private class Ask(val sinceNs: Long, val done: (FinishedJobResult) -> Unit)
 
     private val waiting = LinkedHashMap<String, ArrayList<Ask>>()
     private var asks = 0
@@ -31,8 +31,8 @@
     private var nextNs = 0L
 
     /** [done] is called once. */
-    fun ask(id: String, done: (Ended) -> Unit) {
-        if (asks >= MOST_ASKS) return done(Ended.Unclear)
+    fun ask(id: String, done: (FinishedJobResult) -> Unit) {
+        if (asks >= MAX_ASKS) return done(FinishedJobResult.Unclear)
         asks++
         waiting.getOrPut(id) { ArrayList() } += Ask(context.nowNs, done)
         run()
@@ -42,22 +42,22 @@
     fun run() {
         if (waiting.isEmpty()) return
         val before = context.nowNs - WAIT_MS * NANOS_PER_MILLI
-        for (id in waiting.filterValues { it.first().sinceNs < before }.keys) finish(id, Ended.Unclear)
+        for (id in waiting.filterValues { it.first().sinceNs < before }.keys) finish(id, FinishedJobResult.Unclear)
         if (comparing || waiting.isEmpty() || context.nowNs < nextNs) return
-        if (!context.budget.take(Cause.READ, 0, context.nowNs)) return
+        if (!context.transactions.budget.take(WriteCause.READ, 0, context.nowNs)) return
         comparing = true
         nextNs = context.nowNs + GAP_MS * NANOS_PER_MILLI
         val ids = waiting.keys.take(context.settings.stateLimits.txnOps * CONDITIONS)
         val sent = ids.associateWith { waiting.getValue(it).toList() }
-        context.store.present(ids.map { StoreKeys.OVER + it }) { present ->
+        context.store.existingKeys(ids.map { StoreKeys.FINISHED_JOB + it }) { existingKeys ->
             context.post {
                 comparing = false
-                if (present != null) context.stateOk()
+                if (existingKeys != null) context.storeContact.noteResponse()
                 for ((id, asked) in sent) {
                     when {
-                        present == null -> finish(id, Ended.Unclear, asked)
-                        StoreKeys.OVER + id in present -> read(id, asked)
-                        else -> finish(id, Ended.Absent, asked)
+                        existingKeys == null -> finish(id, FinishedJobResult.Unclear, asked)
+                        StoreKeys.FINISHED_JOB + id in existingKeys -> read(id, asked)
+                        else -> finish(id, FinishedJobResult.Absent, asked)
                     }
                 }
                 run()
@@ -66,19 +66,19 @@
     }
 
     private fun read(id: String, asked: List<Ask>) {
-        if (reading >= MOST_READS ||
-            !context.budget.take(Cause.READ, 0, context.nowNs)
+        if (reading >= MAX_READS ||
+            !context.transactions.budget.take(WriteCause.READ, 0, context.nowNs)
         ) {
-            return finish(id, Ended.Unclear, asked)
+            return finish(id, FinishedJobResult.Unclear, asked)
         }
         reading++
-        context.store.get(StoreKeys.OVER + id) { read ->
+        context.store.get(StoreKeys.FINISHED_JOB + id) { read ->
             context.post {
                 reading--
                 val ended = when (read) {
-                    is Read.Found -> Ended.Known(JobCodec.decodeFinished(id, read.value).also(found))
-                    is Read.Absent -> Ended.Absent
-                    is Read.Failed -> Ended.Unclear
+                    is ReadResult.Found -> FinishedJobResult.Known(JobCodec.decodeFinished(id, read.value).also(found))
+                    is ReadResult.Absent -> FinishedJobResult.Absent
+                    is ReadResult.Failed -> FinishedJobResult.Unclear
                 }
                 finish(id, ended, asked)
             }
@@ -86,7 +86,7 @@
     }
 
     /** Answers [asked], or all who ask for [id]; those who came after a comparison was sent wait for the next. */
-    private fun finish(id: String, ended: Ended, asked: List<Ask> = waiting[id].orEmpty().toList()) {
+    private fun finish(id: String, ended: FinishedJobResult, asked: List<Ask> = waiting[id].orEmpty().toList()) {
         val open = waiting[id] ?: return
         val answered = asked.filter { it in open }
         open.removeAll(answered.toSet())
@@ -96,8 +96,8 @@
     }
 
     private companion object {
-        const val MOST_ASKS = 256
-        const val MOST_READS = 8
+        const val MAX_ASKS = 256
+        const val MAX_READS = 8
 
         /** PROTOCOL-flaxfield.md: four times as many conditions as changes in a transaction. */
         const val CONDITIONS = 4
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobs.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobs.kt
@@ -8,16 +8,16 @@
  * just started has more urgent work than loading it.
  */
 class FinishedJobs(private val most: Long) {
-    private var cache: Cache<String, Finished>? = null
+    private var cache: Cache<String, FinishedJob>? = null
 
     /** The job with this id, if it is remembered as finished. */
-    fun find(id: String): Finished? = cache?.getIfPresent(id)
+    fun find(id: String): FinishedJob? = cache?.getIfPresent(id)
 
     /** Remembers a job that is finished for good. */
-    fun remember(job: Finished) {
+    fun remember(job: FinishedJob) {
         val entries =
             cache
-                ?: Caffeine.newBuilder().maximumSize(most).executor(Runnable::run).build<String, Finished>().also {
+                ?: Caffeine.newBuilder().maximumSize(most).executor(Runnable::run).build<String, FinishedJob>().also {
                     cache =
                         it
                 }
--- a/src/main/kotlin/flaxfield/jobs/Job.kt
+++ b/src/main/kotlin/flaxfield/jobs/Job.kt
@@ -2,7 +2,7 @@
 
 import java.util.BitSet
 
-enum class Shape {
+enum class JobKind {
     ARRAY,
     GANG,
 
@@ -14,25 +14,27 @@
 enum class Priority { IDLE, STANDARD, HIGH, PROD }
 
 /** What one task takes of its machine, or what a machine has. */
-data class Room(val cpus: Double, val gpus: Double, val ram: Double) {
-    operator fun plus(o: Room) = Room(cpus + o.cpus, gpus + o.gpus, ram + o.ram)
+data class Resources(val cpus: Double, val gpus: Double, val ram: Double) {
+    operator fun plus(o: Resources) = Resources(cpus + o.cpus, gpus + o.gpus, ram + o.ram)
 
-    operator fun minus(o: Room) = Room(cpus - o.cpus, gpus - o.gpus, ram - o.ram)
+    operator fun minus(o: Resources) = Resources(cpus - o.cpus, gpus - o.gpus, ram - o.ram)
 
-    operator fun times(n: Int) = Room(cpus * n, gpus * n, ram * n)
+    operator fun times(n: Int) = Resources(cpus * n, gpus * n, ram * n)
 
-    /** Whether a task of size [need] fits in here. */
-    fun holds(need: Room): Boolean =
-        cpus + EPSILON >= need.cpus && gpus + EPSILON >= need.gpus && ram + EPSILON >= need.ram
+    /** Whether a task of size [taskResources] fits in here. */
+    fun canHold(taskResources: Resources): Boolean = cpus + EPSILON >= taskResources.cpus &&
+        gpus + EPSILON >= taskResources.gpus &&
+        ram + EPSILON >= taskResources.ram
 
-    /** How many tasks of size [need] fit in here. */
-    fun count(need: Room): Int = minOf(parts(cpus, need.cpus), parts(gpus, need.gpus), parts(ram, need.ram))
+    /** How many tasks of size [taskResources] fit in here. */
+    fun countFitting(taskResources: Resources): Int =
+        minOf(parts(cpus, taskResources.cpus), parts(gpus, taskResources.gpus), parts(ram, taskResources.ram))
 
-    private fun parts(have: Double, need: Double): Int =
-        if (need <= 0.0) Int.MAX_VALUE else ((have + EPSILON) / need).toInt().coerceAtLeast(0)
+    private fun parts(have: Double, taskResources: Double): Int =
+        if (taskResources <= 0.0) Int.MAX_VALUE else ((have + EPSILON) / taskResources).toInt().coerceAtLeast(0)
 
     companion object {
-        val NONE = Room(0.0, 0.0, 0.0)
+        val NONE = Resources(0.0, 0.0, 0.0)
 
         /** Amounts are decimal numbers: sums of a few of them must not fail on the last bit. */
         private const val EPSILON = 1e-6
@@ -43,26 +45,32 @@
 data class JobSpec(
     val id: String,
     val jobClass: String,
-    val owner: String,
-    val shape: Shape,
+    val team: String,
+    val jobKind: JobKind,
     val priority: Priority,
     val taskCount: Int,
-    val need: Room,
+    val taskResources: Resources,
     val image: String,
     val imageGb: Double,
     val machineTypes: Set<String>?,
     val zone: String?,
     val sameZone: Boolean,
-    val scatter: Boolean,
+    val spreadAcrossZones: Boolean,
     val preemptible: Boolean,
-    val expectS: Double,
-    val saveEveryS: Double,
-    val saveS: Double,
-    val dueS: Double?,
+    val expectedRuntimeS: Double,
+    val checkpointIntervalS: Double,
+    val checkpointDurationS: Double,
+    val deadlineS: Double?,
 )
 
-/** A task's recorded place: it may be on [host] until proof that it left. */
-data class Placed(val index: Int, val attempt: Long, val host: String, val session: ULong, val stopping: Boolean)
+/** A task's recorded place: it may be on [machineName] until proof that it left. */
+data class Placement(
+    val index: Int,
+    val attempt: Long,
+    val machineName: String,
+    val incarnation: ULong,
+    val stopping: Boolean,
+)
 
 /**
  * The records of up to `chunkTasks` tasks. [next] is the next attempt number: it only grows, so that no
@@ -71,7 +79,7 @@
 data class Chunk(
     val next: Long,
     val done: BitSet,
-    val placed: Map<Int, Placed>,
+    val placed: Map<Int, Placement>,
     val version: ULong,
     /**
      * Tasks that left a machine without completing and are not yet known to run again. Kept only where disruption
@@ -90,8 +98,8 @@
     val submittedMs: Long,
     val cancelledMs: Long?,
     /** Hosts on which a task of this job ended with `error`. */
-    val errorHosts: List<String>,
-    val errors: Int,
+    val failedMachines: List<String>,
+    val failureCount: Int,
     /** No task is placed before this time of day: set when the job fails on one machine after another. */
     val retryAtMs: Long,
     val chunkTasks: Int,
@@ -107,26 +115,29 @@
 
     /** Whether any task of it has ever been placed. */
     val hasBegun: Boolean get() = chunks.values.any { it.next > 1L }
-    val isGang: Boolean get() = spec.shape == Shape.GANG
+    val isGang: Boolean get() = spec.jobKind == JobKind.GANG
 
     /**
      * It failed on several machines, more often than it stands on others now, and no task of it has completed: most
      * likely it was submitted with a mistake. It is tried on and on, at nobody else's cost.
      */
-    val suspect: Boolean get() = errorHosts.size >= CompletionRules.FAULTY_JOB_HOSTS &&
+    val isSuspect: Boolean get() = failedMachines.size >= TaskEventRules.FAULTY_JOB_HOSTS &&
         doneCount == 0 &&
-        placedCount < errors
+        placedCount < failureCount
 
-    /** Whether it comes after all others: it is [suspect], and has not been due in vain since before [lateMs]. */
-    fun comesLast(lateMs: Long): Boolean = suspect && retryAtMs >= lateMs
+    /**
+     * Whether it comes after all others: it is [isSuspect], and has not been due in vain since before
+     * [overdueBeforeMs].
+     */
+    fun isDeprioritized(overdueBeforeMs: Long): Boolean = isSuspect && retryAtMs >= overdueBeforeMs
 
     fun chunk(index: Int): Chunk = chunks[index / chunkTasks] ?: Chunk.empty()
 
-    fun placed(index: Int): Placed? = chunks[index / chunkTasks]?.placed?.get(index)
+    fun placed(index: Int): Placement? = chunks[index / chunkTasks]?.placed?.get(index)
 
     fun isDone(index: Int): Boolean = chunks[index / chunkTasks]?.done?.get(index) ?: false
 
-    fun allPlaced(): Sequence<Placed> = chunks.values.asSequence().flatMap { it.placed.values.asSequence() }
+    fun allPlaced(): Sequence<Placement> = chunks.values.asSequence().flatMap { it.placed.values.asSequence() }
 
     /**
      * Indexes of tasks neither done nor placed, starting at [from] and wrapping round, in the chunks that are [open].
@@ -155,12 +166,12 @@
     fun withChunk(number: Int, chunk: Chunk): Job = copy(chunks = chunks + (number to chunk))
 
     /** Records tasks as placed; each gets the chunk's next attempt. */
-    fun place(where: Map<Int, Host>, attempt: Long? = null): Job {
+    fun place(where: Map<Int, Target>, attempt: Long? = null): Job {
         var job = this
         for ((number, part) in where.entries.groupBy { it.key / chunkTasks }) {
             val chunk = job.chunks[number] ?: Chunk.empty()
             val used = attempt ?: chunk.next
-            val added = part.associate { (i, h) -> i to Placed(i, used, h.name, h.session, false) }
+            val added = part.associate { (i, h) -> i to Placement(i, used, h.name, h.incarnation, false) }
             job = job.withChunk(number, chunk.copy(next = used + 1, placed = chunk.placed + added))
         }
         return job
@@ -200,12 +211,12 @@
     /**
      * Whether a change of one chunk must be told in the head's key as well, since other chunks' changes depend on it.
      */
-    val boundTogether: Boolean get() = isGang || spec.sameZone || spec.scatter
+    val tasksAreCoupled: Boolean get() = isGang || spec.sameZone || spec.spreadAcrossZones
 
     /** Whether the head's own fields are those of [other]: all that the head's key holds besides chunk 0. */
     fun sameHead(other: Job): Boolean = cancelledMs == other.cancelledMs &&
-        errorHosts == other.errorHosts &&
-        errors == other.errors &&
+        failedMachines == other.failedMachines &&
+        failureCount == other.failureCount &&
         retryAtMs == other.retryAtMs
 
     private fun edit(indexes: Collection<Int>, change: (Chunk, Int) -> Chunk): Job {
@@ -218,8 +229,8 @@
     }
 
     /** Where a task is put: a host and the session its worker last reported. */
-    data class Host(val name: String, val session: ULong)
+    data class Target(val name: String, val incarnation: ULong)
 }
 
 /** A job that is over, in its compact form. */
-data class Finished(val id: String, val aborted: Boolean, val done: Int)
+data class FinishedJob(val id: String, val aborted: Boolean, val done: Int)
--- a/src/main/kotlin/flaxfield/jobs/JobCodec.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobCodec.kt
@@ -1,7 +1,7 @@
 package flaxfield.jobs
 
+import flaxfield.codec.FieldMap
 import flaxfield.codec.MalformedException
-import flaxfield.codec.Obj
 import java.util.BitSet
 
 /** Wire and store forms of jobs; the users' field names appear only here. */
@@ -11,7 +11,7 @@
     private const val MAX_SHARDS = 100_000
     private val ID = Regex("job-[0-9]{1,18}")
 
-    private val shapes = mapOf("sweep" to Shape.ARRAY, "group" to Shape.GANG, "daemon" to Shape.SERVICE)
+    private val shapes = mapOf("sweep" to JobKind.ARRAY, "group" to JobKind.GANG, "daemon" to JobKind.SERVICE)
     private val priorities = mapOf(
         "prod" to Priority.PROD,
         "high" to Priority.HIGH,
@@ -23,43 +23,45 @@
     fun isId(id: String): Boolean = ID.matches(id)
 
     /** Reads a submission; throws [MalformedException] for a missing or invalid field. */
-    fun spec(o: Obj): JobSpec {
+    fun spec(o: FieldMap): JobSpec {
         val id = text(o, "id")
         if (!isId(id)) throw MalformedException("id is invalid")
-        val taskCount = o.needInt("shards")
+        val taskCount = o.requireInt("shards")
         if (taskCount !in 1..MAX_SHARDS) throw MalformedException("shards is invalid")
-        val machineTypes = o.texts("flavors")
+        val machineTypes = o.textList("flavors")
         if (machineTypes == null && o.map["flavors"] != null) throw MalformedException("flavors is invalid")
         return JobSpec(
             id = id,
             jobClass = text(o, "jobclass"),
-            owner = text(o, "owner"),
-            shape = shapes[o.text("shape")] ?: throw MalformedException("shape is invalid"),
+            team = text(o, "owner"),
+            jobKind = shapes[o.text("shape")] ?: throw MalformedException("shape is invalid"),
             priority = priorities[o.text("urgency")] ?: throw MalformedException("urgency is invalid"),
             taskCount = taskCount,
-            need = Room(amount(o, "vcpus"), amount(o, "accelerators"), amount(o, "ram_gb")),
+            taskResources = Resources(amount(o, "vcpus"), amount(o, "accelerators"), amount(o, "ram_gb")),
             image = text(o, "bundle"),
             imageGb = amount(o, "pull_gb"),
             machineTypes = machineTypes?.toSet(),
             zone = optionalText(o, "site"),
-            sameZone = o.needFlag("same_place"),
-            scatter = o.needFlag("scatter"),
-            preemptible = o.needFlag("lendable"),
-            expectS = amount(o, "expect_s"),
-            saveEveryS = amount(o, "snapshot_every_s"),
-            saveS = amount(o, "snapshot_s"),
-            dueS = if (o.map["due_s"] == null) null else amount(o, "due_s"),
+            sameZone = o.requireBoolean("same_place"),
+            spreadAcrossZones = o.requireBoolean("scatter"),
+            preemptible = o.requireBoolean("lendable"),
+            expectedRuntimeS = amount(o, "expect_s"),
+            checkpointIntervalS = amount(o, "snapshot_every_s"),
+            checkpointDurationS = amount(o, "snapshot_s"),
+            deadlineS = if (o.map["due_s"] == null) null else amount(o, "due_s"),
         )
     }
 
     fun encodeSpec(s: JobSpec): Map<String, Any?> = mapOf(
-        "id" to s.id, "jobclass" to s.jobClass, "owner" to s.owner,
-        "shape" to shapes.entries.first { it.value == s.shape }.key,
+        "id" to s.id, "jobclass" to s.jobClass, "owner" to s.team,
+        "shape" to shapes.entries.first { it.value == s.jobKind }.key,
         "urgency" to priorities.entries.first { it.value == s.priority }.key,
-        "shards" to s.taskCount, "vcpus" to s.need.cpus, "accelerators" to s.need.gpus, "ram_gb" to s.need.ram,
+        "shards" to s.taskCount, "vcpus" to s.taskResources.cpus, "accelerators" to s.taskResources.gpus,
+        "ram_gb" to s.taskResources.ram,
         "bundle" to s.image, "pull_gb" to s.imageGb, "flavors" to s.machineTypes?.toList(), "site" to s.zone,
-        "same_place" to s.sameZone, "scatter" to s.scatter, "lendable" to s.preemptible,
-        "expect_s" to s.expectS, "snapshot_every_s" to s.saveEveryS, "snapshot_s" to s.saveS, "due_s" to s.dueS,
+        "same_place" to s.sameZone, "scatter" to s.spreadAcrossZones, "lendable" to s.preemptible,
+        "expect_s" to s.expectedRuntimeS, "snapshot_every_s" to s.checkpointIntervalS,
+        "snapshot_s" to s.checkpointDurationS, "due_s" to s.deadlineS,
     )
 
     /** The head's value: the job and its chunk 0. */
@@ -67,20 +69,20 @@
         "spec" to encodeSpec(j.spec),
         "at" to j.submittedMs,
         "cancelled" to j.cancelledMs,
-        "bad" to j.errorHosts,
-        "errors" to j.errors,
+        "bad" to j.failedMachines,
+        "errors" to j.failureCount,
         "retry" to j.retryAtMs,
         "size" to j.chunkTasks,
     ) + encodeChunk(j.chunks[0] ?: Chunk.empty())
 
-    fun decodeHead(o: Obj, version: ULong): Job = Job(
-        spec = spec(o.needObj("spec")),
-        submittedMs = o.needCount("at").toLong(),
+    fun decodeHead(o: FieldMap, version: ULong): Job = Job(
+        spec = spec(o.requireMap("spec")),
+        submittedMs = o.requireUnsigned("at").toLong(),
         cancelledMs = o.count("cancelled")?.toLong(),
-        errorHosts = o.texts("bad").orEmpty(),
-        errors = o.int("errors") ?: 0,
+        failedMachines = o.textList("bad").orEmpty(),
+        failureCount = o.int("errors") ?: 0,
         retryAtMs = o.count("retry")?.toLong() ?: 0,
-        chunkTasks = o.needInt("size"),
+        chunkTasks = o.requireInt("size"),
         chunks = mapOf(0 to decodeChunk(o, version)),
         version = version,
     )
@@ -88,28 +90,28 @@
     fun encodeChunk(c: Chunk): Map<String, Any?> = mapOf(
         "next" to c.next,
         "done" to ranges(c.done),
-        "placed" to c.placed.values.map { listOf(it.index, it.attempt, it.host, it.session, it.stopping) },
+        "placed" to c.placed.values.map { listOf(it.index, it.attempt, it.machineName, it.incarnation, it.stopping) },
     ) + (if (c.interrupted.isEmpty()) emptyMap() else mapOf("lost" to ranges(bits(c.interrupted))))
 
-    fun decodeChunk(o: Obj, version: ULong): Chunk {
+    fun decodeChunk(o: FieldMap, version: ULong): Chunk {
         val done = bits(o, "done")
         val placed = o.list("placed").orEmpty().map { row ->
             row as List<*>
-            Placed(
+            Placement(
                 (row[0] as Number).toInt(),
                 (row[1] as Number).toLong(),
                 row[2] as String,
-                Obj.needCount(row[3]),
+                FieldMap.requireUnsigned(row[3]),
                 row[4] as Boolean,
             )
         }
         val interrupted = bits(o, "lost").stream().toArray().toSet()
-        return Chunk(o.needCount("next").toLong(), done, placed.associateBy { it.index }, version, interrupted)
+        return Chunk(o.requireUnsigned("next").toLong(), done, placed.associateBy { it.index }, version, interrupted)
     }
 
-    fun encodeFinished(f: Finished): Map<String, Any?> = mapOf("aborted" to f.aborted, "done" to f.done)
+    fun encodeFinished(f: FinishedJob): Map<String, Any?> = mapOf("aborted" to f.aborted, "done" to f.done)
 
-    fun decodeFinished(id: String, o: Obj) = Finished(id, o.flag("aborted") ?: false, o.int("done") ?: 0)
+    fun decodeFinished(id: String, o: FieldMap) = FinishedJob(id, o.flag("aborted") ?: false, o.int("done") ?: 0)
 
     /** The answer users get for a job that is not over. */
     fun status(j: Job): Map<String, Any?> = mapOf(
@@ -123,7 +125,7 @@
         "running" to j.placedCount,
     )
 
-    fun status(f: Finished): Map<String, Any?> =
+    fun status(f: FinishedJob): Map<String, Any?> =
         mapOf("id" to f.id, "phase" to if (f.aborted) "aborted" else "done", "done" to f.done, "running" to 0)
 
     /** Splits a task's name into its job's id and its number. */
@@ -135,7 +137,7 @@
 
     fun taskName(id: String, index: Int): String = "$id/$index"
 
-    private fun bits(o: Obj, key: String): BitSet {
+    private fun bits(o: FieldMap, key: String): BitSet {
         val result = BitSet()
         val ends = o.list(key).orEmpty().map { (it as Number).toInt() }
         for (k in 0 until ends.size - 1 step 2) result.set(ends[k], ends[k + 1] + 1)
@@ -154,16 +156,16 @@
         }
     }
 
-    private fun text(o: Obj, key: String): String {
-        val t = o.needText(key)
+    private fun text(o: FieldMap, key: String): String {
+        val t = o.requireText(key)
         if (t.isEmpty() || t.length > MAX_TEXT) throw MalformedException("$key is invalid")
         return t
     }
 
-    private fun optionalText(o: Obj, key: String): String? = if (o.map[key] == null) null else text(o, key)
+    private fun optionalText(o: FieldMap, key: String): String? = if (o.map[key] == null) null else text(o, key)
 
-    private fun amount(o: Obj, key: String): Double {
-        val v = o.needNumber(key)
+    private fun amount(o: FieldMap, key: String): Double {
+        val v = o.requireNumber(key)
         if (!(v >= 0.0) || v.isInfinite()) throw MalformedException("$key is invalid")
         return v
     }
--- a/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
@@ -4,27 +4,30 @@
 import flaxfield.NANOS_PER_MILLI
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.arrays.ArrayScheduler
+import flaxfield.codec.Cbor
 import flaxfield.codec.MalformedException
-import flaxfield.codec.Wire
+import flaxfield.controller.Controller
+import flaxfield.controller.ControllerContext
 import flaxfield.net.Body
-import flaxfield.net.Reply
-import flaxfield.node.Controller
-import flaxfield.node.NodeContext
+import flaxfield.net.Responder
 import flaxfield.settings.StateLimits
-import flaxfield.store.Cause
 import flaxfield.store.Change
-import flaxfield.store.Outcome
-import flaxfield.store.Read
-import flaxfield.store.Sizes
+import flaxfield.store.ReadResult
 import flaxfield.store.StoreKeys
-import flaxfield.store.Txn
+import flaxfield.store.Transaction
+import flaxfield.store.TransactionOutcome
+import flaxfield.store.TransactionSize
+import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
 /** Users' requests: submit, status, cancel. Nothing is told before it is committed. */
-class JobRequestHandler(private val context: NodeContext, private val begin: (Job) -> ArrayScheduler.Begun?) {
-    private class Waiter(val id: String, val reply: Reply, val sinceNs: Long, val then: (Job?) -> Unit) {
+class JobRequestHandler(
+    private val context: ControllerContext,
+    private val begin: (Job) -> ArrayScheduler.InitialPlacement?,
+) {
+    private class Waiter(val id: String, val responder: Responder, val sinceNs: Long, val then: (Job?) -> Unit) {
         /** The view must have reached this revision; null until a read has told it. */
-        var need: ULong? = null
+        var taskResources: ULong? = null
     }
 
     private val finished = FinishedJobs(context.operator.finishedCache.toLong())
@@ -34,197 +37,212 @@
     private var nextConfirmNs = 0L
     private val chunkTasks = chunkTasks(context.settings.stateLimits)
 
-    fun submit(body: ByteArray, reply: Reply) {
+    fun submit(body: ByteArray, responder: Responder) {
         val spec = try {
-            JobCodec.spec(Wire.decode(body))
+            JobCodec.spec(Cbor.decode(body))
         } catch (e: MalformedException) {
             log.info("submission refused: {}", e.message)
-            return answer(reply, 400, mapOf("error" to (e.message ?: "malformed")))
+            return answer(responder, 400, mapOf("error" to (e.message ?: "malformed")))
         }
-        if (Sizes.json(JobCodec.encodeSpec(spec)) > context.settings.stateLimits.valueKb * BYTES_PER_KIB * SPEC_SHARE) {
-            return answer(reply, 400, mapOf("error" to "flavors is too long"))
+        if (TransactionSize.json(JobCodec.encodeSpec(spec)) >
+            context.settings.stateLimits.valueKb * BYTES_PER_KIB * SPEC_SHARE
+        ) {
+            return answer(responder, 400, mapOf("error" to "flavors is too long"))
         }
         val old = finished.find(spec.id)
-        if (old != null) return answer(reply, 200, JobCodec.status(old))
-        if (context.view.jobs.containsKey(spec.id)) return status(spec.id, reply)
-        if (context.view.machineTypes.isEmpty()) return later(reply, "machine types are not known yet")
-        val refusal = Validation.refuse(spec, context.settings.teams, context.view.machineTypes)
-        if (refusal != null) return refused(spec, refusal, reply)
-        if (stateSeemsAway()) return later(reply, "the state service does not answer")
+        if (old != null) return answer(responder, 200, JobCodec.status(old))
+        if (context.view.jobs.containsKey(spec.id)) return status(spec.id, responder)
+        if (context.view.machineTypes.isEmpty()) return later(responder, "machine types are not known yet")
+        val refusal = JobAdmission.refuse(spec, context.settings.teams, context.view.machineTypes)
+        if (refusal != null) return refused(spec, refusal, responder)
+        if (stateSeemsAway()) return later(responder, "the state service does not answer")
         accept(
             Job(spec, context.nowMs, null, emptyList(), 0, 0, chunkTasks, mapOf(0 to Chunk.empty()), 0uL),
-            reply,
+            responder,
             mayBegin = true,
         )
     }
 
-    private fun accept(job: Job, reply: Reply, mayBegin: Boolean) {
+    private fun accept(job: Job, responder: Responder, mayBegin: Boolean) {
         val spec = job.spec
         val key = StoreKeys.JOB + spec.id
-        if (context.isBusy(key)) return later(reply, "a submission of this job is under way")
-        if (!context.maySpend(Cause.SUBMIT, 1)) return later(reply, "too many submissions")
+        if (context.transactions.isWritePending(key)) return later(responder, "a submission of this job is under way")
+        if (!context.transactions.mayWrite(WriteCause.SUBMIT, 1)) return later(responder, "too many submissions")
         val begun = if (mayBegin) begin(job) else null
-        val txn = Txn(
-            begun?.conditions.orEmpty() + mapOf(key to 0uL, StoreKeys.OVER + spec.id to 0uL),
+        val txn = Transaction(
+            begun?.conditions.orEmpty() + mapOf(key to 0uL, StoreKeys.FINISHED_JOB + spec.id to 0uL),
             listOf(Change.Put(key, JobCodec.encodeHead(begun?.job ?: job))),
         )
-        val sent = context.commit(Cause.SUBMIT, txn) { outcome ->
+        val sent = context.transactions.submit(WriteCause.SUBMIT, txn) { outcome ->
             when (outcome) {
-                is Outcome.Committed -> {
+                is TransactionOutcome.Committed -> {
                     log.info(
                         "job={} class={} owner={} tasks={} image={} pull_gb={} expect_s={} accepted",
                         spec.id,
                         spec.jobClass,
-                        spec.owner,
+                        spec.team,
                         spec.taskCount,
                         spec.image,
                         spec.imageGb,
-                        spec.expectS,
+                        spec.expectedRuntimeS,
                     )
                     for (p in begun?.job?.allPlaced().orEmpty()) {
                         log.info(
-                            "job={} task={} attempt={} host={} term={} placed as accepted",
+                            "job={} task={} attempt={} machine={} term={} placed as accepted",
                             job.id,
                             p.index,
                             p.attempt,
-                            p.host,
-                            context.term(),
+                            p.machineName,
+                            context.leadership.term(),
                         )
                     }
-                    answer(reply, 201, mapOf("id" to spec.id, "phase" to "pending"))
+                    answer(responder, 201, mapOf("id" to spec.id, "phase" to "pending"))
                 }
                 // A machine or the assignment has changed meanwhile, or the job is known already: the plain record
                 // tells.
-                is Outcome.Conflict -> if (begun !=
+                is TransactionOutcome.Conflict -> if (begun !=
                     null
                 ) {
-                    accept(job, reply, mayBegin = false)
+                    accept(job, responder, mayBegin = false)
                 } else {
-                    status(spec.id, reply)
+                    status(spec.id, responder)
                 }
-                else -> later(reply, "the state service does not answer")
+                else -> later(responder, "the state service does not answer")
             }
         }
-        if (!sent) later(reply, "too many submissions")
+        if (!sent) later(responder, "too many submissions")
     }
 
     /** A repeat of an accepted job must never get 422, so what would refuse it is checked against the store. */
-    private fun refused(spec: JobSpec, refusal: String, reply: Reply) = confirmed(spec.id, reply) { job ->
+    private fun refused(spec: JobSpec, refusal: String, responder: Responder) = confirmed(spec.id, responder) { job ->
         if (job != null) {
-            answer(reply, 200, JobCodec.status(job))
+            answer(responder, 200, JobCodec.status(job))
         } else {
-            over(spec.id, reply, { answer(reply, 200, JobCodec.status(it)) }) {
+            over(spec.id, responder, { answer(responder, 200, JobCodec.status(it)) }) {
                 log.info("job={} refused: {}", spec.id, refusal)
-                answer(reply, 422, mapOf("error" to refusal))
+                answer(responder, 422, mapOf("error" to refusal))
             }
         }
     }
 
-    fun status(id: String, reply: Reply) {
-        if (!JobCodec.isId(id)) return answer(reply, 404, mapOf("error" to "no such job"))
+    fun status(id: String, responder: Responder) {
+        if (!JobCodec.isId(id)) return answer(responder, 404, mapOf("error" to "no such job"))
         val old = finished.find(id)
-        if (old != null) return answer(reply, 200, JobCodec.status(old))
-        confirmed(id, reply) { job ->
+        if (old != null) return answer(responder, 200, JobCodec.status(old))
+        confirmed(id, responder) { job ->
             if (job != null) {
-                answer(reply, 200, JobCodec.status(job))
+                answer(responder, 200, JobCodec.status(job))
             } else if (context.view.version(StoreKeys.JOB + id) != 0uL) {
                 // Its record is there and can't be read: accepted all the same, and never to be called unknown.
                 log.error("job={} has a record that can't be read", id)
-                answer(reply, 200, mapOf("id" to id, "phase" to "pending"))
+                answer(responder, 200, mapOf("id" to id, "phase" to "pending"))
             } else {
-                over(id, reply, { answer(reply, 200, JobCodec.status(it)) }) {
-                    answer(reply, 404, mapOf("error" to "no such job"))
+                over(id, responder, { answer(responder, 200, JobCodec.status(it)) }) {
+                    answer(responder, 404, mapOf("error" to "no such job"))
                 }
             }
         }
     }
 
-    fun cancel(id: String, reply: Reply) {
-        if (!JobCodec.isId(id)) return answer(reply, 404, mapOf("error" to "no such job"))
+    fun cancel(id: String, responder: Responder) {
+        if (!JobCodec.isId(id)) return answer(responder, 404, mapOf("error" to "no such job"))
         val old = finished.find(id)
-        if (old != null) return cancelAnswer(old, reply)
-        cancel(id, reply, CANCEL_TRIES)
+        if (old != null) return cancelAnswer(old, responder)
+        cancel(id, responder, CANCEL_TRIES)
     }
 
-    private fun cancel(id: String, reply: Reply, tries: Int) {
+    private fun cancel(id: String, responder: Responder, tries: Int) {
         val job = context.view.jobs[id]
-        if (job != null && job.cancelled) return answer(reply, 200, mapOf("id" to id, "phase" to "aborted"))
+        if (job != null && job.cancelled) return answer(responder, 200, mapOf("id" to id, "phase" to "aborted"))
         if (job == null) {
-            return confirmed(id, reply) { now ->
+            return confirmed(id, responder) { now ->
                 if (now != null) {
-                    cancel(id, reply, tries - 1)
+                    cancel(id, responder, tries - 1)
                 } else {
-                    over(id, reply, { cancelAnswer(it, reply) }) { answer(reply, 404, mapOf("error" to "no such job")) }
+                    over(id, responder, { cancelAnswer(it, responder) }) {
+                        answer(
+                            responder,
+                            404,
+                            mapOf(
+                                "error" to "no such job",
+                            ),
+                        )
+                    }
                 }
             }
         }
-        if (tries <= 0) return later(reply, "the job changes too often")
+        if (tries <= 0) return later(responder, "the job changes too often")
         val key = StoreKeys.JOB + id
-        if (context.isBusy(key)) return confirmed(id, reply) { cancel(id, reply, tries - 1) }
+        if (context.transactions.isWritePending(key)) {
+            return confirmed(id, responder) {
+                cancel(id, responder, tries - 1)
+            }
+        }
         val cancelled = job.copy(cancelledMs = context.nowMs)
         // Of a job with several chunks a placement may just be committed in one: only those after the cancellation
         // fail.
         val txn = if (job.placedCount == 0 && job.spec.taskCount <= job.chunkTasks) {
-            TaskCompletion.over(context, cancelled, aborted = true, fenced = false)
+            TaskEventCommitter.over(context, cancelled, aborted = true, fenced = false)
         } else {
-            Txn(mapOf(key to job.version), listOf(Change.Put(key, JobCodec.encodeHead(cancelled))))
+            Transaction(mapOf(key to job.version), listOf(Change.Put(key, JobCodec.encodeHead(cancelled))))
         }
-        val sent = context.commit(Cause.CANCEL, txn) { outcome ->
+        val sent = context.transactions.submit(WriteCause.CANCEL, txn) { outcome ->
             when (outcome) {
-                is Outcome.Committed -> {
+                is TransactionOutcome.Committed -> {
                     log.info("job={} cancelled by its user, {} tasks placed", id, job.placedCount)
-                    answer(reply, 200, mapOf("id" to id, "phase" to "aborted"))
+                    answer(responder, 200, mapOf("id" to id, "phase" to "aborted"))
                 }
-                is Outcome.Conflict -> confirmed(id, reply) { cancel(id, reply, tries - 1) }
-                else -> later(reply, "the state service does not answer")
+                is TransactionOutcome.Conflict -> confirmed(id, responder) { cancel(id, responder, tries - 1) }
+                else -> later(responder, "the state service does not answer")
             }
         }
-        if (!sent) later(reply, "too many requests")
+        if (!sent) later(responder, "too many requests")
     }
 
-    private fun cancelAnswer(f: Finished, reply: Reply) =
-        answer(reply, 200, mapOf("id" to f.id, "phase" to if (f.aborted) "aborted" else "done"))
+    private fun cancelAnswer(f: FinishedJob, responder: Responder) =
+        answer(responder, 200, mapOf("id" to f.id, "phase" to if (f.aborted) "aborted" else "done"))
 
     /** Looks for a finished job in the store. */
-    private fun over(id: String, reply: Reply, found: (Finished) -> Unit, absent: () -> Unit) = ended.ask(id) { e ->
-        when (e) {
-            is Ended.Known -> found(e.job)
-            is Ended.Absent -> absent()
-            is Ended.Unclear -> later(reply, "not found out in time")
+    private fun over(id: String, responder: Responder, found: (FinishedJob) -> Unit, absent: () -> Unit) =
+        ended.ask(id) { e ->
+            when (e) {
+                is FinishedJobResult.Known -> found(e.job)
+                is FinishedJobResult.Absent -> absent()
+                is FinishedJobResult.Unclear -> later(responder, "not found out in time")
+            }
         }
-    }
 
     /** Runs [then] once the view is surely as new as this moment; answers 503 if that can't be had in time. */
-    private fun confirmed(id: String, reply: Reply, then: (Job?) -> Unit) {
-        if (stateSeemsAway()) return later(reply, "the state service does not answer")
-        if (waiters.size >= MOST_WAITERS) return later(reply, "too many requests")
-        waiters += Waiter(id, reply, context.nowNs, then)
+    private fun confirmed(id: String, responder: Responder, then: (Job?) -> Unit) {
+        if (stateSeemsAway()) return later(responder, "the state service does not answer")
+        if (waiters.size >= MAX_WAITERS) return later(responder, "too many requests")
+        waiters += Waiter(id, responder, context.nowNs, then)
         confirmSoon()
     }
 
     /** One read of the current revision serves all who asked before it was sent. */
     private fun confirmSoon() {
         val now = context.nowNs
-        if (confirming || now < nextConfirmNs || waiters.none { it.need == null }) return
-        if (!context.budget.take(Cause.READ, 0, now)) return
+        if (confirming || now < nextConfirmNs || waiters.none { it.taskResources == null }) return
+        if (!context.transactions.budget.take(WriteCause.READ, 0, now)) return
         confirming = true
         nextConfirmNs = now + confirmGapNs
-        val asked = waiters.filter { it.need == null }
-        context.store.get(StoreKeys.NOTHING) { read ->
+        val asked = waiters.filter { it.taskResources == null }
+        context.store.get(StoreKeys.REVISION_PROBE) { read ->
             context.post {
                 confirming = false
-                if (read is Read.Absent) {
-                    context.stateOk()
-                    context.knowledge.read(now, read.revision)
-                    context.knowledge.reached(context.view.revision)
-                    for (w in asked) w.need = read.revision
-                    viewMoved()
+                if (read is ReadResult.Absent) {
+                    context.storeContact.noteResponse()
+                    context.viewFreshness.read(now, read.revision)
+                    context.viewFreshness.reached(context.view.revision)
+                    for (w in asked) w.taskResources = read.revision
+                    onViewAdvanced()
                 } else {
                     // Some have been given up on meanwhile: a second answer on a kept connection was taken for the next
                     // request's, and each later one came one request late.
                     val open = asked.filterTo(HashSet()) { it in waiters }
                     waiters.removeAll(open)
-                    for (w in open) later(w.reply, "the state service does not answer")
+                    for (w in open) later(w.responder, "the state service does not answer")
                 }
                 confirmSoon()
             }
@@ -232,9 +250,9 @@
     }
 
     /** Answers those whose revision the view has reached. */
-    fun viewMoved() {
+    fun onViewAdvanced() {
         if (waiters.isEmpty()) return
-        val ready = waiters.filter { w -> w.need?.let { it <= context.view.revision } ?: false }
+        val ready = waiters.filter { w -> w.taskResources?.let { it <= context.view.revision } ?: false }
         if (ready.isEmpty()) return
         waiters.removeAll(ready.toSet())
         for (w in ready) w.then(context.view.jobs[w.id])
@@ -246,20 +264,22 @@
         val late = waiters.filter { context.nowNs - it.sinceNs > CONFIRM_MS * NANOS_PER_MILLI }
         if (late.isNotEmpty()) {
             waiters.removeAll(late.toSet())
-            for (w in late) later(w.reply, "the view lags")
+            for (w in late) later(w.responder, "the view lags")
         }
         confirmSoon()
     }
 
     /** Kept fresh by renewals: several of them in a row without an answer mean an outage or being refused. */
     private fun stateSeemsAway(): Boolean =
-        context.nowNs - context.stateOkNs > context.settings.workers.leaseS * AWAY_SHARE * NANOS_PER_SECOND
+        context.storeContact.silenceNs() > context.settings.workers.leaseS * AWAY_SHARE * NANOS_PER_SECOND
 
-    private fun later(reply: Reply, why: String) = reply.send(503, encode(mapOf("error" to why)), RETRY_AFTER_S)
+    private fun later(responder: Responder, why: String) =
+        responder.send(503, encode(mapOf("error" to why)), RETRY_AFTER_S)
 
-    private fun answer(reply: Reply, status: Int, map: Map<String, Any?>) = reply.send(status, encode(map), null)
+    private fun answer(responder: Responder, status: Int, map: Map<String, Any?>) =
+        responder.send(status, encode(map), null)
 
-    private fun encode(map: Map<String, Any?>) = Body(Wire.encode(map), Body.CBOR)
+    private fun encode(map: Map<String, Any?>) = Body(Cbor.encode(map), Body.CBOR)
 
     /**
      * Reads for polls take at most this share of the node's part of the state service's rate. Nor need they come
@@ -286,7 +306,7 @@
         /** A placed task's record as the store counts it: index, attempt, host, session, flag. */
         private const val RECORD_BYTES = 40
         private const val CANCEL_TRIES = 6
-        private const val MOST_WAITERS = 512
+        private const val MAX_WAITERS = 512
 
         /** Users wait 2 s for a poll's answer. */
         private const val CONFIRM_MS = 1_500
--- a/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
+++ b/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
@@ -1,7 +1,7 @@
 package flaxfield.jobs
 
 import flaxfield.NANOS_PER_SECOND
-import flaxfield.node.NodeContext
+import flaxfield.controller.ControllerContext
 import org.slf4j.LoggerFactory
 
 /** Why a job makes no progress. */
@@ -11,7 +11,7 @@
 object StallRules {
     /** [known] tells whether a host's record exists: it is dropped only once its return was answered. */
     fun reason(job: Job, nowMs: Long, known: (String) -> Boolean): Stall = when {
-        job.allPlaced().any { !known(it.host) } -> Stall.HOST_GONE
+        job.allPlaced().any { !known(it.machineName) } -> Stall.HOST_GONE
         job.retryAtMs > nowMs -> Stall.BACKS_OFF
         job.pendingCount > 0 -> Stall.WAITS_FOR_ROOM
         job.cancelled || job.allPlaced().any { it.stopping } -> Stall.WAITS_FOR_PROOF
@@ -20,7 +20,7 @@
 }
 
 /** The leader's look at jobs whose records do not change: it names them, and heals what no one else would. */
-class StallMonitor(private val context: NodeContext, private val completion: TaskCompletion) {
+class StallMonitor(private val context: ControllerContext, private val taskEvents: TaskEventCommitter) {
     private class Seen(val version: ULong, val sinceNs: Long) {
         /** How often it has been named: once in each [STILL_S], not at each look. */
         var named = 0
@@ -32,7 +32,7 @@
     fun tick() {
         if (context.nowNs < nextNs) return
         nextNs = context.nowNs + (context.settings.workers.leaseS * LOOK_LEASES * NANOS_PER_SECOND).toLong()
-        if (!context.leads()) return seen.clear()
+        if (!context.leadership.isLeader()) return seen.clear()
         val w = context.view
         seen.keys.retainAll(w.jobs.keys)
         for (job in w.jobs.values) {
@@ -53,8 +53,8 @@
             StallRules.reason(job, context.nowMs, known) == Stall.HOST_GONE
         ) {
             // A host's record goes only with the answer to its return, and names are never used again.
-            for (p in job.allPlaced().filter { !known(it.host) }) {
-                completion.add(TaskEvent.Left(job.id, p.index, p.attempt, p.host, "host is gone", false))
+            for (p in job.allPlaced().filter { !known(it.machineName) }) {
+                taskEvents.add(TaskEvent.Lost(job.id, p.index, p.attempt, p.machineName, "host is gone", false))
             }
         }
         if (stillS < STILL_S * (seen.named + 1)) return
@@ -64,12 +64,12 @@
         log.info(
             "job={} term={} stands still for {} s: {} pending={} placed={} owner={}",
             job.id,
-            context.term(),
+            context.leadership.term(),
             stillS.toInt(),
             reason,
             job.pendingCount,
             job.placedCount,
-            job.spec.owner,
+            job.spec.team,
         )
     }
 
--- a/src/main/kotlin/flaxfield/jobs/StarvationTracker.kt
+++ b/src/main/kotlin/flaxfield/jobs/StarvationTracker.kt
@@ -4,7 +4,7 @@
 
 /**
  * Since when jobs have waited with nothing of theirs on any machine. Once troubles are over, none may wait for
- * [MOST_S] while a machine that fits has room and its team is under its limit: what keeps machines or a part of a limit
+ * [MAX_S] while a machine that fits has room and its team is under its limit: what keeps machines or a part of a limit
  * for others gives way to a job that has waited for most of that.
  *
  * A placement ends the wait only when it has stood for a while: one that was taken back before its task began, since
@@ -32,7 +32,7 @@
 
     private fun notePlaced(id: String, nowMs: Long) {
         val since = placedSinceMs.getOrPut(id) { nowMs }
-        if (nowMs - since > MOST_S * STANDS_SHARE * MILLIS_PER_SECOND) waitingSinceMs.remove(id)
+        if (nowMs - since > MAX_S * STANDS_SHARE * MILLIS_PER_SECOND) waitingSinceMs.remove(id)
     }
 
     /**
@@ -40,14 +40,14 @@
      * claim.
      */
     fun long(job: Job, nowMs: Long): Boolean {
-        if (job.suspect || job.placedCount > 0) return false
+        if (job.isSuspect || job.placedCount > 0) return false
         val since = waitingSinceMs[job.id] ?: return false
-        return nowMs - since > MOST_S * LONG_SHARE * MILLIS_PER_SECOND
+        return nowMs - since > MAX_S * LONG_SHARE * MILLIS_PER_SECOND
     }
 
     private companion object {
         /** The operators' figure, whatever the deployment. */
-        const val MOST_S = 90.0
+        const val MAX_S = 90.0
 
         /** The rest is for a boot, or for one more turn. */
         const val LONG_SHARE = 0.6
--- a/src/main/kotlin/flaxfield/jobs/TaskCompletion.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
@@ -2,17 +2,17 @@
 
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
-import flaxfield.node.NodeContext
+import flaxfield.controller.ControllerContext
 import flaxfield.settings.StateLimits
-import flaxfield.store.Cause
 import flaxfield.store.Change
-import flaxfield.store.Outcome
 import flaxfield.store.StoreKeys
-import flaxfield.store.Txn
+import flaxfield.store.Transaction
+import flaxfield.store.TransactionOutcome
+import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
 /** Commits proofs about tasks to their jobs' records, and closes jobs that are over. */
-class TaskCompletion(private val context: NodeContext) {
+class TaskEventCommitter(private val context: ControllerContext) {
     /** Proofs about one job that the view does not show yet. */
     private class Proofs(var sinceNs: Long) {
         val events = LinkedHashMap<Pair<Int, Long>, TaskEvent>()
@@ -23,13 +23,13 @@
     /** Takes a proof; it is kept until the view shows that the record has moved on. */
     fun add(e: TaskEvent) {
         val known = pending.getOrPut(e.job) { Proofs(context.nowNs) }.events.put(e.index to e.attempt, e)
-        if (known == null) context.dirty = true
+        if (known == null) context.decisions.request()
     }
 
     /** Sends what can be sent now. */
     fun run() {
-        val term = context.term() ?: return
-        if (!context.mayDecide()) return
+        val term = context.leadership.term() ?: return
+        if (!context.leadership.mayAct()) return
         val wanted by lazy(LazyThreadSafetyMode.NONE) {
             context.view.jobs.values.any {
                 !it.cancelled &&
@@ -46,21 +46,25 @@
             }
             // Asked when they are committed, not when they come: a controller inside a lost zone learnt of the loss
             // only after the reports of its return, and had tasks started again whose class forbids it.
-            val events = proofs.events.values.filterNot { context.zones?.holdsBack(it) ?: false }
+            val events = proofs.events.values.filterNot { context.zones?.mustDefer(it) ?: false }
             if (events.isEmpty()) continue
             val hurry = hurry(job, events)
             if (!hurry && !gathered(proofs) { wanted }) continue
             // Not even what is most urgent may be written: the rest waits as well.
-            if (!context.maySpend(Cause.FINISH, 1)) break
+            if (!context.transactions.mayWrite(WriteCause.FINISH, 1)) break
             val cause = when {
-                hurry && small(job) -> Cause.CLOSE
-                hurry -> Cause.FINISH
-                events.size >= FEW -> Cause.PROOF
-                else -> Cause.TRICKLE
+                hurry && small(job) -> WriteCause.CLOSE
+                hurry -> WriteCause.FINISH
+                events.size >= FEW -> WriteCause.PROOF
+                else -> WriteCause.TRICKLE
+            }
+            if (context.transactions.mayWrite(cause, 1) &&
+                settle(job, events, term, cause)
+            ) {
+                proofs.sinceNs = context.nowNs
             }
-            if (context.maySpend(cause, 1) && settle(job, events, term, cause)) proofs.sinceNs = context.nowNs
         }
-        if (context.leads()) sweep()
+        if (context.leadership.isLeader()) sweep()
     }
 
     /**
@@ -70,7 +74,14 @@
     private fun inOrder(): List<String> {
         val zones = context.zones?.takeIf { it.isRecovering } ?: return pending.keys.toList()
         val (known, over) = pending.keys.partition { it in context.view.jobs }
-        return zones.sort(known.mapNotNull { context.view.jobs[it] }, context.use(), lateMs = 0).map { it.id } + over
+        return zones.sort(
+            known.mapNotNull {
+                context.view.jobs[it]
+            },
+            context.scheduling.teamUsage(),
+            overdueBeforeMs = 0,
+        ).map { it.id } +
+            over
     }
 
     /**
@@ -78,36 +89,36 @@
      */
     private fun hurry(job: Job, events: List<TaskEvent>): Boolean = job.isGang ||
         job.cancelled ||
-        events.any { it is TaskEvent.Left } ||
+        events.any { it is TaskEvent.Lost } ||
         events.size >= job.placedCount ||
-        events.size >= job.allPlaced().count { mine(it.host) }
+        events.size >= job.allPlaced().count { mine(it.machineName) }
 
     private fun small(job: Job) =
         !job.isGang && !job.cancelled && job.spec.taskCount < FEW && job.spec.priority == Priority.IDLE
 
-    private fun mine(host: String) = context.view.machines[host]?.let { context.owns(it) } ?: true
+    private fun mine(machineName: String) = context.view.machines[machineName]?.let { context.shards.owns(it) } ?: true
 
     /** Ends of an array's tasks gather for a while, unless changes are plenty: several of them are one write. */
     private fun gathered(proofs: Proofs, wanted: () -> Boolean): Boolean {
-        if (context.budget.ample(context.nowNs)) return true
-        val wait = context.settings.workers.reportS * if (wanted()) WANTED_REPORTS else GATHER_REPORTS
+        if (context.transactions.budget.ample(context.nowNs)) return true
+        val wait = context.settings.workers.heartbeatIntervalS * if (wanted()) WANTED_HEARTBEATS else GATHER_HEARTBEATS
         val due = proofs.sinceNs + (wait * NANOS_PER_SECOND).toLong()
-        if (context.nowNs < due) context.wakeAt(due)
+        if (context.nowNs < due) context.decisions.requestAt(due)
         return context.nowNs >= due
     }
 
-    private fun settle(job: Job, all: List<TaskEvent>, term: ULong, cause: Cause): Boolean {
+    private fun settle(job: Job, all: List<TaskEvent>, term: ULong, cause: WriteCause): Boolean {
         // As many chunks as one transaction holds; the others follow in the next.
         val some = all.mapTo(LinkedHashSet()) {
             it.index / job.chunkTasks
         }.take(chunksAtOnce(context.settings.stateLimits)).toSet()
-        if ((some + 0).any { context.isBusy(StoreKeys.chunk(job.id, it)) }) return false
+        if ((some + 0).any { context.transactions.isWritePending(StoreKeys.chunk(job.id, it)) }) return false
         val events = all.filter { it.index / job.chunkTasks in some }
-        val next = CompletionRules.apply(
+        val next = TaskEventRules.apply(
             job,
             events,
             context.nowMs,
-            (context.settings.workers.reportS * BACKOFF_REPORTS * MILLIS_PER_SECOND).toLong(),
+            (context.settings.workers.heartbeatIntervalS * BACKOFF_HEARTBEATS * MILLIS_PER_SECOND).toLong(),
             tracksLosses = context.subsystem != null,
         )
         if (next === job) return false
@@ -122,8 +133,8 @@
         } else {
             marked(write(job, next, term).fencedByZones(job, events), events)
         }
-        return context.commit(cause, txn) { outcome ->
-            if (outcome is Outcome.Committed) {
+        return context.transactions.submit(cause, txn) { outcome ->
+            if (outcome is TransactionOutcome.Committed) {
                 for (e in events) {
                     log.info(
                         "job={} task={} attempt={} term={} {}",
@@ -140,50 +151,70 @@
     }
 
     /** Where a class forbids repeats, what is not known to have ended holds only if its zone is as this view has it. */
-    private fun Txn.fencedByZones(job: Job, events: List<TaskEvent>): Txn {
+    private fun Transaction.fencedByZones(job: Job, events: List<TaskEvent>): Transaction {
         val zones = context.zones ?: return this
         return copy(conditions = conditions + zones.fences(job, events).associateWith { context.view.version(it) })
     }
 
     /** With disruption budgets on, a loss is told in this node's mark as well: no drain steps on a view without it. */
-    private fun marked(txn: Txn, events: List<TaskEvent>): Txn {
+    private fun marked(txn: Transaction, events: List<TaskEvent>): Transaction {
         val mark = context.subsystem?.lossMark()
-        return if (mark == null || events.none { it is TaskEvent.Left }) txn else txn.copy(changes = txn.changes + mark)
+        return if (mark == null || events.none { it is TaskEvent.Lost }) txn else txn.copy(changes = txn.changes + mark)
     }
 
     /** Jobs that are over but still in the live keys: a cancel met the last exit on its way, for example. */
     private fun sweep() {
         for (job in context.view.jobs.values) {
             val over = job.complete || (job.cancelled && job.placedCount == 0)
-            if (!over || context.isBusy(StoreKeys.JOB + job.id)) continue
-            if (!context.commit(Cause.FINISH, over(context, job, aborted = job.cancelled, fenced = true))) return
+            if (!over || context.transactions.isWritePending(StoreKeys.JOB + job.id)) continue
+            if (!context.transactions.submit(
+                    WriteCause.FINISH,
+                    over(context, job, aborted = job.cancelled, fenced = true),
+                )
+            ) {
+                return
+            }
+        }
+        val strays = context.view.strayChunks.keys.filter {
+            !context.transactions.isWritePending(
+                StoreKeys.JOB_CHUNK + it,
+            )
         }
-        val strays = context.view.strayChunks.keys.filter { !context.isBusy(StoreKeys.PART + it) }
         if (strays.isNotEmpty()) {
             val some = strays.take(context.settings.stateLimits.txnOps / 2)
-            context.commit(Cause.ROOM, Txn(fence(context), some.map { Change.Drop(StoreKeys.PART + it) }))
+            context.transactions.submit(
+                WriteCause.ROOM,
+                Transaction(
+                    fence(context),
+                    some.map {
+                        Change.Delete(
+                            StoreKeys.JOB_CHUNK + it,
+                        )
+                    },
+                ),
+            )
         }
     }
 
     private fun describe(e: TaskEvent): String = when (e) {
-        is TaskEvent.Done -> "done"
-        is TaskEvent.Left -> "left host=${e.host} why=${e.why}"
+        is TaskEvent.Completed -> "done"
+        is TaskEvent.Lost -> "left host=${e.machineName} why=${e.why}"
     }
 
     companion object {
         private val log = LoggerFactory.getLogger("flaxfield.jobs")
 
         /** A job that fails everywhere is tried again after this many report intervals, then twice as many. */
-        private const val BACKOFF_REPORTS = 2
+        private const val BACKOFF_HEARTBEATS = 2
 
         /** So many tasks of one job are worth a write of their own also when changes are scarce. */
         const val FEW = 4
 
         /** Ends gather for so many report intervals while some job waits for room, */
-        private const val WANTED_REPORTS = 0.4
+        private const val WANTED_HEARTBEATS = 0.4
 
         /** and for so many while none does. */
-        private const val GATHER_REPORTS = 1.5
+        private const val GATHER_HEARTBEATS = 1.5
 
         /** PROTOCOL-flaxfield.md: a transaction's size in all. */
         private const val TXN_KB = 64.0
@@ -193,7 +224,7 @@
             minOf(limits.txnOps / 2, (TXN_KB / limits.valueKb).toInt() - 1).coerceAtLeast(1)
 
         /** The condition that every decision's transaction carries: the assignment it was made under. */
-        fun fence(context: NodeContext): Map<String, ULong> = mapOf(
+        fun fence(context: ControllerContext): Map<String, ULong> = mapOf(
             StoreKeys.ASSIGNMENT to context.view.version(StoreKeys.ASSIGNMENT),
         )
 
@@ -202,8 +233,8 @@
          * tells of a cancellation; it is written only if it changes, or if the job's tasks depend on one another.
          * Written each time, it made parts that place and end tasks in different chunks of one array fail one another.
          */
-        fun write(old: Job, next: Job, term: ULong): Txn {
-            val head = old.boundTogether || !old.sameHead(next)
+        fun write(old: Job, next: Job, term: ULong): Transaction {
+            val head = old.tasksAreCoupled || !old.sameHead(next)
             val changed = next.chunks.filter { (n, c) -> n == 0 && head || old.chunks[n] !== c }
             val conditions = HashMap<String, ULong>()
             conditions[StoreKeys.ASSIGNMENT] = term
@@ -224,11 +255,11 @@
                     },
                 )
             }
-            return Txn(conditions, puts)
+            return Transaction(conditions, puts)
         }
 
         /** The transaction that moves a job to the finished ones. Chunks beyond a transaction's size follow later. */
-        fun over(context: NodeContext, job: Job, aborted: Boolean, fenced: Boolean): Txn {
+        fun over(context: ControllerContext, job: Job, aborted: Boolean, fenced: Boolean): Transaction {
             val head = StoreKeys.JOB + job.id
             val conditions = HashMap<String, ULong>()
             conditions[head] = job.version
@@ -236,14 +267,17 @@
             val parts = job.chunks.keys.filter { it != 0 && context.view.version(StoreKeys.chunk(job.id, it)) != 0uL }
             val changes = ArrayList<Change>()
             changes +=
-                Change.Put(StoreKeys.OVER + job.id, JobCodec.encodeFinished(Finished(job.id, aborted, job.doneCount)))
-            changes += Change.Drop(head)
+                Change.Put(
+                    StoreKeys.FINISHED_JOB + job.id,
+                    JobCodec.encodeFinished(FinishedJob(job.id, aborted, job.doneCount)),
+                )
+            changes += Change.Delete(head)
             for (n in parts.take(context.settings.stateLimits.txnOps - changes.size)) {
                 val key = StoreKeys.chunk(job.id, n)
                 conditions[key] = context.view.version(key)
-                changes += Change.Drop(key)
+                changes += Change.Delete(key)
             }
-            return Txn(conditions, changes)
+            return Transaction(conditions, changes)
         }
     }
 }
--- a/src/main/kotlin/flaxfield/members/MembershipManager.kt
+++ b/src/main/kotlin/flaxfield/members/MembershipManager.kt
@@ -2,15 +2,15 @@
 
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_MILLI
-import flaxfield.node.NodeContext
-import flaxfield.store.Cause
+import flaxfield.controller.ControllerContext
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
-import flaxfield.store.Txn
+import flaxfield.store.Transaction
+import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
 /** Keeps this process's lease and carries out [MemberRules]. */
-class MembershipManager(private val context: NodeContext) {
+class MembershipManager(private val context: ControllerContext) {
     private var lease: ULong? = null
     private var asking = false
     private var nextRenewNs = 0L
@@ -28,7 +28,7 @@
      */
     fun leave(done: () -> Unit) {
         leaving = true
-        context.leaseUntilNs = 0
+        context.leadership.leaseUntilNs = 0
         val held = lease ?: return done()
         lease = null
         log.info("lease={} given back", held)
@@ -39,11 +39,11 @@
         if (leaving) return
         val now = context.nowNs
         if (!asking && now >= nextRenewNs) renew(now)
-        if (lease != null && context.leaseValid() && !stepOpen && now >= nextStepNs) step(now)
+        if (lease != null && context.leadership.leaseValid() && !stepOpen && now >= nextStepNs) step(now)
     }
 
     private fun renew(now: Long) {
-        if (!context.budget.take(Cause.LEASE, 0, now)) return
+        if (!context.transactions.budget.take(WriteCause.LEASE, 0, now)) return
         asking = true
         nextRenewNs = now + (ttlMs * RENEW_SHARE * NANOS_PER_MILLI).toLong()
         val held = lease
@@ -74,7 +74,7 @@
             NOT_FOUND -> {
                 log.info("lease={} has ended", lease)
                 lease = null
-                context.leaseUntilNs = 0
+                context.leadership.leaseUntilNs = 0
                 nextRenewNs = 0
             }
             else -> retrySoon()
@@ -83,9 +83,9 @@
 
     /** Counted from when we asked, and shortened by what steady clocks may drift apart. */
     private fun valid(sentNs: Long) {
-        context.stateOk()
-        context.leaseUntilNs = sentNs + (ttlMs * NANOS_PER_MILLI * (1 - DRIFT)).toLong()
-        context.dirty = true
+        context.storeContact.noteResponse()
+        context.leadership.leaseUntilNs = sentNs + (ttlMs * NANOS_PER_MILLI * (1 - DRIFT)).toLong()
+        context.decisions.request()
     }
 
     private fun retrySoon() {
@@ -95,23 +95,25 @@
     private fun step(now: Long) {
         val w = context.view
         val held = lease ?: return
-        val step = MemberRules.next(context.me, w.members.values, w.leader, w.assignment) ?: return
+        val step = MemberRules.next(context.self, w.members.values, w.leader, w.assignment) ?: return
         val (key, change) = when (step) {
             is MemberStep.Join -> {
-                val key = StoreKeys.MEMBER + context.me.name
-                key to Change.Put(key, MemberCodec.encode(context.me), held)
+                val key = StoreKeys.MEMBER + context.self.name
+                key to Change.Put(key, MemberCodec.encode(context.self), held)
             }
-            is MemberStep.Lead -> StoreKeys.LEADER to Change.Put(StoreKeys.LEADER, MemberCodec.encode(context.me), held)
+            is MemberStep.Lead ->
+                StoreKeys.LEADER to
+                    Change.Put(StoreKeys.LEADER, MemberCodec.encode(context.self), held)
             is MemberStep.Assign ->
                 StoreKeys.ASSIGNMENT to
-                    Change.Put(StoreKeys.ASSIGNMENT, MemberCodec.encode(context.me, step.members))
+                    Change.Put(StoreKeys.ASSIGNMENT, MemberCodec.encode(context.self, step.members))
         }
-        if (context.isBusy(key)) return
+        if (context.transactions.isWritePending(key)) return
         val conditions = HashMap<String, ULong>()
         conditions[key] = w.version(key)
         // An assignment stands only while its writer leads: the leader's key is part of the condition.
         if (step is MemberStep.Assign) conditions[StoreKeys.LEADER] = w.version(StoreKeys.LEADER)
-        stepOpen = context.commit(Cause.LEASE, Txn(conditions, listOf(change))) { outcome ->
+        stepOpen = context.transactions.submit(WriteCause.LEASE, Transaction(conditions, listOf(change))) { outcome ->
             stepOpen = false
             nextStepNs = context.nowNs + (ttlMs * RETRY_SHARE * NANOS_PER_MILLI).toLong() / STEP_PACE
             log.info("member step={} outcome={}", step, outcome)
