--- a/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
@@ -7,8 +7,8 @@
 import flaxfield.fleet.Machine
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobAdmission
+import flaxfield.jobs.JobTransactions
 import flaxfield.jobs.Resources
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.quota.TeamUsage
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
@@ -192,7 +192,7 @@
                         job.spec.taskResources
                 },
             )
-        return InitialPlacement(next, TaskEventCommitter.write(job, next, term).conditions + versions(found.values))
+        return InitialPlacement(next, JobTransactions.update(job, next, term).conditions + versions(found.values))
     }
 
     private fun versions(candidates: Collection<PlacementCandidate>) = candidates.distinct().associate {
@@ -282,7 +282,7 @@
         val limits = ArrayPlacement.Limits(
             most,
             MAX_HOSTS,
-            TaskEventCommitter.chunksAtOnce(context.settings.stateLimits),
+            JobTransactions.maxChunks(context.settings.stateLimits),
         )
         val found = ArrayPlacement.place(job, candidates, TopologyConstraint(job.spec, zones), offset(job), limits) {
             !context.transactions.isWritePending(StoreKeys.chunk(job.id, it))
@@ -290,7 +290,7 @@
         if (found.isEmpty()) return 0
         use.add(team.name, job.spec.taskResources * found.size)
         val cause = if (found.size >=
-            minOf(TaskEventCommitter.FEW, job.pendingCount)
+            minOf(JobTransactions.BULK_TASKS, job.pendingCount)
         ) {
             WriteCause.ARRAY
         } else {
@@ -301,7 +301,7 @@
             return found.size
         }
         val next = job.place(found.mapValues { (_, s) -> Job.Target(s.machine.name, s.incarnation) })
-        val base = TaskEventCommitter.write(job, next, term)
+        val base = JobTransactions.update(job, next, term)
         val hosts = versions(found.values)
         val fence = if (team.limited) mapOf(fenceKey to context.view.version(fenceKey)) else emptyMap()
         val bump = if (team.limited) listOf(Change.Put(fenceKey, mapOf("job" to job.id))) else emptyList()
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
@@ -2,7 +2,7 @@
 
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.jobs.TaskEventCommitter
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -33,7 +33,7 @@
         val dealt = Array(pages) { HashMap<String, MachineStatus>() }
         for (m in mine) {
             dealt[ShardSummaryPages.page(m.name, pages)][m.name] =
-                workerHealth.workerState(m.name).room(workerHealth.state(m.name))
+                workerHealth.workerState(m.name).toMachineStatus(workerHealth.state(m.name))
         }
         // A machine that came up or fell silent is news at once; which images it holds may wait a little.
         val withImages = context.nowNs >= nextImagesNs
@@ -71,7 +71,7 @@
     private fun write(page: Int, now: ShardSummary, pressing: Boolean) {
         val key = StoreKeys.shardSummary(context.self.name, page)
         if (context.transactions.isWritePending(key)) return
-        val conditions = TaskEventCommitter.fence(context) + (key to context.view.version(key))
+        val conditions = JobTransactions.assignmentFence(context) + (key to context.view.version(key))
         val cause = if (pressing) WriteCause.FLEET else WriteCause.ROOM
         val written = context.transactions.submit(
             cause,
--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -210,7 +210,7 @@
     private fun peer(c: Command.Peer) {
         when (val m = c.message) {
             is PeerMessage.PeerHeartbeat -> peers.pulse(m)
-            is PeerMessage.ForwardedHeartbeat -> workers.relayed(
+            is PeerMessage.ForwardedHeartbeat -> workers.forwardedHeartbeat(
                 m.heartbeat,
                 Responder { status, body, _ ->
                     c.answer(PeerMessage.ForwardedResponse(m.id, status, body.bytes))
--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -1,5 +1,6 @@
 package flaxfield.drain
 
+import flaxfield.jobs.TaskId
 import flaxfield.arrays.MachineHealth
 import flaxfield.jobs.Job
 import flaxfield.jobs.Placement
--- a/src/main/kotlin/flaxfield/drain/DrainCodec.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainCodec.kt
@@ -2,6 +2,7 @@
 
 import flaxfield.codec.FieldMap
 import flaxfield.codec.MalformedException
+import flaxfield.jobs.TaskId
 
 /** Stored forms of the drain records. */
 object DrainCodec {
--- a/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
@@ -4,6 +4,7 @@
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
 import flaxfield.jobs.Job
+import flaxfield.jobs.TaskId
 
 /** Tasks that are stopped together or not at all: a whole gang, or one task of an array. */
 data class DisruptionUnit(val job: Job, val tasks: List<Int>) {
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -6,7 +6,8 @@
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskEventCommitter
+import flaxfield.jobs.JobTransactions
+import flaxfield.jobs.TaskId
 import flaxfield.settings.StateLimits
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
@@ -55,7 +56,7 @@
         if (context.transactions.isWritePending(key)) return
         val txn =
             Transaction(
-                TaskEventCommitter.fence(context) + (key to drain.version),
+                JobTransactions.assignmentFence(context) + (key to drain.version),
                 listOf(Change.Put(key, DrainCodec.encode(drain))),
             )
         context.transactions.submit(WriteCause.FLEET, txn) { outcome ->
@@ -118,7 +119,7 @@
     private fun put(machine: Machine) = Change.Put(StoreKeys.MACHINE + machine.name, FleetCodec.encode(machine))
 
     private fun commit(drain: DrainRecord, machines: List<Machine>, changes: List<Change>, done: () -> Unit) {
-        val conditions = TaskEventCommitter.fence(context) +
+        val conditions = JobTransactions.assignmentFence(context) +
             (FleetKeys.DRAIN + drain.id to drain.version) +
             machines.associate { StoreKeys.MACHINE + it.name to it.version }
         context.transactions.submit(WriteCause.FLEET, Transaction(conditions, changes)) {
@@ -172,7 +173,8 @@
         val old = over.sortedBy { it.orderedMs }.take(minOf(over.size - KEPT_DRAINS, limits.txnOps))
             .filter { !context.transactions.isWritePending(FleetKeys.DRAIN + it.id) }
         if (old.isEmpty()) return
-        val conditions = TaskEventCommitter.fence(context) + old.associate { FleetKeys.DRAIN + it.id to it.version }
+        val conditions =
+            JobTransactions.assignmentFence(context) + old.associate { FleetKeys.DRAIN + it.id to it.version }
         context.transactions.submit(
             WriteCause.ROOM,
             Transaction(
@@ -222,7 +224,7 @@
         }
         for ((id, list) in units.groupBy { it.job.id }) {
             val job = snapshot.jobs[id] ?: continue
-            val stop = TaskEventCommitter.write(job, job.stop(running(job, list)), term)
+            val stop = JobTransactions.update(job, job.stop(running(job, list)), term)
             conditions += stop.conditions
             changes += stop.changes
         }
--- a/src/main/kotlin/flaxfield/drain/DrainRecords.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainRecords.kt
@@ -1,6 +1,7 @@
 package flaxfield.drain
 
 import flaxfield.fleet.Machine
+import flaxfield.jobs.TaskId
 
 /** Which machines a drain is for: all conditions that are given must hold. */
 data class Selector(
@@ -55,9 +56,6 @@
     val version: ULong,
 )
 
-/** One task of one job. */
-data class TaskId(val job: String, val index: Int)
-
 /** A task that a drain has stopped: the attempt that was stopped, and the drain. */
 data class Disruption(val attempt: Long, val drain: String)
 
--- a/src/main/kotlin/flaxfield/drain/LedgerEntries.kt
+++ b/src/main/kotlin/flaxfield/drain/LedgerEntries.kt
@@ -2,7 +2,7 @@
 
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskEventCommitter
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -31,7 +31,7 @@
         val versions = jobs.associate { StoreKeys.JOB + it to (snapshot.jobs[it]?.version ?: 0uL) }
         val next = ledger.copy(entries = ledger.entries - freed.toSet())
         val txn = Transaction(
-            TaskEventCommitter.fence(context) + versions + (key to ledger.version),
+            JobTransactions.assignmentFence(context) + versions + (key to ledger.version),
             listOf(Change.Put(key, DrainCodec.encode(next))),
         )
         context.transactions.submit(WriteCause.ROOM, txn) { outcome ->
--- a/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
@@ -2,7 +2,8 @@
 
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
-import flaxfield.jobs.TaskEventCommitter
+import flaxfield.jobs.JobTransactions
+import flaxfield.jobs.TaskId
 import flaxfield.store.Change
 import flaxfield.store.Transaction
 import flaxfield.store.TransactionOutcome
@@ -40,10 +41,10 @@
         // As many chunks as one transaction holds; the others follow.
         val chunks = running.map {
             it / job.chunkTasks
-        }.distinct().take(TaskEventCommitter.chunksAtOnce(context.settings.stateLimits))
+        }.distinct().take(JobTransactions.maxChunks(context.settings.stateLimits))
         val some = running.filter { it / job.chunkTasks in chunks }
         if (some.isEmpty()) return
-        val write = TaskEventCommitter.write(job, job.restore(some), term)
+        val write = JobTransactions.update(job, job.restore(some), term)
         val freed = some.map { TaskId(job.id, it) }.filter { ledger != null && it in ledger.entries }
         val txn = if (ledger == null || freed.isEmpty()) write else write.alsoFreeing(ledger, freed)
         if (txn.changes.any { context.transactions.isWritePending(it.key) }) return
--- a/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
@@ -5,6 +5,7 @@
 import flaxfield.arrays.MachineHealth
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobTransactions
 import flaxfield.jobs.Resources
 import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
@@ -104,7 +105,7 @@
                     context.nowNs + (context.settings.workers.heartbeatIntervalS / 2 * NANOS_PER_SECOND).toLong()
                 if (got != null && context.leadership.isLeader()) {
                     val conditions =
-                        TaskEventCommitter.fence(context) +
+                        JobTransactions.assignmentFence(context) +
                             (StoreKeys.MACHINE_TYPES to context.view.version(StoreKeys.MACHINE_TYPES))
                     val put = Change.Put(StoreKeys.MACHINE_TYPES, FleetCodec.encodeFlavors(got.values, context.nowMs))
                     context.transactions.submit(WriteCause.FLEET, Transaction(conditions, listOf(put)))
@@ -123,7 +124,7 @@
         val some = ReturnOrder.sort(context, due.values.map { it.machine }).take(most).mapNotNull { due[it.name] }
         if (some.isEmpty()) return
         val conditions =
-            TaskEventCommitter.fence(context) +
+            JobTransactions.assignmentFence(context) +
                 some.associate { StoreKeys.MACHINE + it.machine.name to it.machine.version }
         val changes = some.map { r ->
             Change.Put(
--- a/src/main/kotlin/flaxfield/fleet/MachineReturner.kt
+++ b/src/main/kotlin/flaxfield/fleet/MachineReturner.kt
@@ -2,6 +2,7 @@
 
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
+import flaxfield.jobs.JobTransactions
 import flaxfield.jobs.TaskEvent
 import flaxfield.jobs.TaskEventCommitter
 import flaxfield.store.Change
@@ -159,7 +160,7 @@
         }
         for (some in empty.chunked(context.transactions.budget.bulk(context.settings.stateLimits.txnOps))) {
             val conditions =
-                TaskEventCommitter.fence(context) + some.associate { StoreKeys.MACHINE + it.name to it.version }
+                JobTransactions.assignmentFence(context) + some.associate { StoreKeys.MACHINE + it.name to it.version }
             if (!context.transactions.submit(
                     WriteCause.FLEET,
                     Transaction(
--- a/src/main/kotlin/flaxfield/fleet/RentalRequester.kt
+++ b/src/main/kotlin/flaxfield/fleet/RentalRequester.kt
@@ -2,7 +2,7 @@
 
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.jobs.TaskEventCommitter
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -97,7 +97,7 @@
         }
         val last = if (left.size <= room) listOf(Change.Delete(StoreKeys.RENTAL + h.name)) else emptyList()
         val conditions =
-            TaskEventCommitter.fence(context) + (StoreKeys.RENTAL + h.name to h.version) +
+            JobTransactions.assignmentFence(context) + (StoreKeys.RENTAL + h.name to h.version) +
                 some.associate { StoreKeys.MACHINE + it to 0uL }
         context.transactions.submit(WriteCause.FLEET, Transaction(conditions, changes + last))
     }
@@ -120,7 +120,7 @@
                 context.nowMs,
                 0uL,
             )
-        val conditions = TaskEventCommitter.fence(context) + (StoreKeys.RENTAL + h.name to 0uL)
+        val conditions = JobTransactions.assignmentFence(context) + (StoreKeys.RENTAL + h.name to 0uL)
         val sent = context.transactions.submit(
             WriteCause.FLEET,
             Transaction(conditions, listOf(Change.Put(StoreKeys.RENTAL + h.name, FleetCodec.encode(h)))),
--- a/src/main/kotlin/flaxfield/gangs/GangScheduler.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangScheduler.kt
@@ -12,8 +12,8 @@
 import flaxfield.fleet.MachineReservation
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobSpec
+import flaxfield.jobs.JobTransactions
 import flaxfield.jobs.Resources
-import flaxfield.jobs.TaskEventCommitter
 import flaxfield.quota.TeamUsage
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
@@ -281,7 +281,7 @@
         ) {
             return park(job, "more machines than one transaction takes")
         }
-        val conditions = HashMap(TaskEventCommitter.fence(context))
+        val conditions = HashMap(JobTransactions.assignmentFence(context))
         val changes = perHost.map { (m, n) ->
             conditions[StoreKeys.MACHINE + m.name] = m.version
             Change.Put(
@@ -355,7 +355,7 @@
         if (team.limited && context.transactions.isWritePending(fenceKey)) return
         val attempt = job.nextGangAttempt()
         val next = job.place(candidates.mapValues { (_, s) -> Job.Target(s.machine.name, s.incarnation) }, attempt)
-        val base = TaskEventCommitter.write(job, next, term)
+        val base = JobTransactions.update(job, next, term)
         val conditions = HashMap(base.conditions)
         val changes = ArrayList(base.changes)
         for (m in machines) {
@@ -390,7 +390,7 @@
     }
 
     private fun release(id: String, machines: List<Machine>, why: String) {
-        val conditions = HashMap(TaskEventCommitter.fence(context))
+        val conditions = HashMap(JobTransactions.assignmentFence(context))
         val changes = machines.take(context.settings.stateLimits.txnOps).map { m ->
             conditions[StoreKeys.MACHINE + m.name] = m.version
             Change.Put(StoreKeys.MACHINE + m.name, FleetCodec.encode(m.copy(reservation = null)))
--- /dev/null
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJob.kt
@@ -0,0 +1,4 @@
+package flaxfield.jobs
+
+/** A job that is over, in its compact form. */
+data class FinishedJob(val id: String, val aborted: Boolean, val done: Int)
--- a/src/main/kotlin/flaxfield/jobs/Job.kt
+++ b/src/main/kotlin/flaxfield/jobs/Job.kt
@@ -2,97 +2,7 @@
 
 import java.util.BitSet
 
-enum class JobKind {
-    ARRAY,
-    GANG,
-
-    /** Independent tasks that run until their user cancels them; placed like an array's. */
-    SERVICE,
-}
-
-/** From the least to the most urgent; a later one may preempt an earlier one. */
-enum class Priority { IDLE, STANDARD, HIGH, PROD }
-
-/** What one task takes of its machine, or what a machine has. */
-data class Resources(val cpus: Double, val gpus: Double, val ram: Double) {
-    operator fun plus(o: Resources) = Resources(cpus + o.cpus, gpus + o.gpus, ram + o.ram)
-
-    operator fun minus(o: Resources) = Resources(cpus - o.cpus, gpus - o.gpus, ram - o.ram)
-
-    operator fun times(n: Int) = Resources(cpus * n, gpus * n, ram * n)
-
-    /** Whether a task of size [taskResources] fits in here. */
-    fun canHold(taskResources: Resources): Boolean = cpus + EPSILON >= taskResources.cpus &&
-        gpus + EPSILON >= taskResources.gpus &&
-        ram + EPSILON >= taskResources.ram
-
-    /** How many tasks of size [taskResources] fit in here. */
-    fun countFitting(taskResources: Resources): Int =
-        minOf(parts(cpus, taskResources.cpus), parts(gpus, taskResources.gpus), parts(ram, taskResources.ram))
-
-    private fun parts(have: Double, taskResources: Double): Int =
-        if (taskResources <= 0.0) Int.MAX_VALUE else ((have + EPSILON) / taskResources).toInt().coerceAtLeast(0)
-
-    companion object {
-        val NONE = Resources(0.0, 0.0, 0.0)
-
-        /** Amounts are decimal numbers: sums of a few of them must not fail on the last bit. */
-        private const val EPSILON = 1e-6
-    }
-}
-
-/** What a user submitted; it never changes. */
-data class JobSpec(
-    val id: String,
-    val jobClass: String,
-    val team: String,
-    val jobKind: JobKind,
-    val priority: Priority,
-    val taskCount: Int,
-    val taskResources: Resources,
-    val image: String,
-    val imageGb: Double,
-    val machineTypes: Set<String>?,
-    val zone: String?,
-    val sameZone: Boolean,
-    val spreadAcrossZones: Boolean,
-    val preemptible: Boolean,
-    val expectedRuntimeS: Double,
-    val checkpointIntervalS: Double,
-    val checkpointDurationS: Double,
-    val deadlineS: Double?,
-)
-
-/** A task's recorded place: it may be on [machineName] until proof that it left. */
-data class Placement(
-    val index: Int,
-    val attempt: Long,
-    val machineName: String,
-    val incarnation: ULong,
-    val stopping: Boolean,
-)
-
-/**
- * The records of up to `chunkTasks` tasks. [next] is the next attempt number: it only grows, so that no
- * task ever gets an attempt twice. [done] is treated as immutable: changes are made on a clone.
- */
-data class Chunk(
-    val next: Long,
-    val done: BitSet,
-    val placed: Map<Int, Placement>,
-    val version: ULong,
-    /**
-     * Tasks that left a machine without completing and are not yet known to run again. Kept only where disruption
-     * budgets are on: in the record, so that a new leader knows of losses that it has not seen.
-     */
-    val interrupted: Set<Int> = emptySet(),
-) {
-    companion object {
-        fun empty() = Chunk(1, BitSet(), emptyMap(), 0uL)
-    }
-}
-
-/** An accepted job that is not over, as the store has it. Chunk 0 lives in the head's key. */
+/** An accepted job that is not over, as the store has it. JobChunk 0 lives in the head's key. */
 data class Job(
     val spec: JobSpec,
     val submittedMs: Long,
@@ -103,7 +13,7 @@
     /** No task is placed before this time of day: set when the job fails on one machine after another. */
     val retryAtMs: Long,
     val chunkTasks: Int,
-    val chunks: Map<Int, Chunk>,
+    val chunks: Map<Int, JobChunk>,
     val version: ULong,
 ) {
     val id: String get() = spec.id
@@ -111,6 +21,9 @@
     val doneCount: Int by lazy(LazyThreadSafetyMode.NONE) { chunks.values.sumOf { it.done.cardinality() } }
     val placedCount: Int by lazy(LazyThreadSafetyMode.NONE) { chunks.values.sumOf { it.placed.size } }
     val complete: Boolean get() = doneCount >= spec.taskCount
+
+    /** Whether nothing is left to do: all tasks are done, or it is cancelled and no task is on a machine. */
+    val isOver: Boolean get() = complete || (cancelled && placedCount == 0)
     val pendingCount: Int get() = spec.taskCount - doneCount - placedCount
 
     /** Whether any task of it has ever been placed. */
@@ -121,7 +34,7 @@
      * It failed on several machines, more often than it stands on others now, and no task of it has completed: most
      * likely it was submitted with a mistake. It is tried on and on, at nobody else's cost.
      */
-    val isSuspect: Boolean get() = failedMachines.size >= TaskEventRules.FAULTY_JOB_HOSTS &&
+    val isSuspect: Boolean get() = failedMachines.size >= TaskEventRules.MIN_FAILED_MACHINES_OF_FAULTY_JOB &&
         doneCount == 0 &&
         placedCount < failureCount
 
@@ -131,7 +44,7 @@
      */
     fun isDeprioritized(overdueBeforeMs: Long): Boolean = isSuspect && retryAtMs >= overdueBeforeMs
 
-    fun chunk(index: Int): Chunk = chunks[index / chunkTasks] ?: Chunk.empty()
+    fun chunk(index: Int): JobChunk = chunks[index / chunkTasks] ?: JobChunk.empty()
 
     fun placed(index: Int): Placement? = chunks[index / chunkTasks]?.placed?.get(index)
 
@@ -141,7 +54,7 @@
 
     /**
      * Indexes of tasks neither done nor placed, starting at [from] and wrapping round, in the chunks that are [open].
-     * Chunk by chunk: with a look-up for each of 25,000 tasks, a placement cost more than all else in its turn.
+     * JobChunk by chunk: with a look-up for each of 25,000 tasks, a placement cost more than all else in its turn.
      */
     fun pending(from: Int = 0, open: (Int) -> Boolean = { true }): Sequence<Int> =
         pending(from, spec.taskCount, open) + pending(0, from, open)
@@ -152,7 +65,7 @@
             val number = i / chunkTasks
             val end = minOf(until, (number + 1) * chunkTasks)
             if (open(number)) {
-                val chunk = chunks[number] ?: Chunk.empty()
+                val chunk = chunks[number] ?: JobChunk.empty()
                 var next = chunk.done.nextClearBit(i)
                 while (next < end) {
                     if (next !in chunk.placed) yield(next)
@@ -163,13 +76,13 @@
         }
     }
 
-    fun withChunk(number: Int, chunk: Chunk): Job = copy(chunks = chunks + (number to chunk))
+    fun withChunk(number: Int, chunk: JobChunk): Job = copy(chunks = chunks + (number to chunk))
 
     /** Records tasks as placed; each gets the chunk's next attempt. */
     fun place(where: Map<Int, Target>, attempt: Long? = null): Job {
         var job = this
         for ((number, part) in where.entries.groupBy { it.key / chunkTasks }) {
-            val chunk = job.chunks[number] ?: Chunk.empty()
+            val chunk = job.chunks[number] ?: JobChunk.empty()
             val used = attempt ?: chunk.next
             val added = part.associate { (i, h) -> i to Placement(i, used, h.name, h.incarnation, false) }
             job = job.withChunk(number, chunk.copy(next = used + 1, placed = chunk.placed + added))
@@ -199,7 +112,7 @@
     fun finish(indexes: Collection<Int>): Job {
         val next = HashMap(chunks)
         for ((number, part) in indexes.groupBy { it / chunkTasks }) {
-            val c = next[number] ?: Chunk.empty()
+            val c = next[number] ?: JobChunk.empty()
             val done = c.done.clone() as BitSet
             for (i in part) done.set(i)
             next[number] =
@@ -219,11 +132,11 @@
         failureCount == other.failureCount &&
         retryAtMs == other.retryAtMs
 
-    private fun edit(indexes: Collection<Int>, change: (Chunk, Int) -> Chunk): Job {
+    private fun edit(indexes: Collection<Int>, change: (JobChunk, Int) -> JobChunk): Job {
         val next = HashMap(chunks)
         for (i in indexes) {
             val number = i / chunkTasks
-            next[number] = change(next[number] ?: Chunk.empty(), i)
+            next[number] = change(next[number] ?: JobChunk.empty(), i)
         }
         return copy(chunks = next)
     }
@@ -231,6 +144,3 @@
     /** Where a task is put: a host and the session its worker last reported. */
     data class Target(val name: String, val incarnation: ULong)
 }
-
-/** A job that is over, in its compact form. */
-data class FinishedJob(val id: String, val aborted: Boolean, val done: Int)
--- a/src/main/kotlin/flaxfield/jobs/JobCodec.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobCodec.kt
@@ -73,7 +73,7 @@
         "errors" to j.failureCount,
         "retry" to j.retryAtMs,
         "size" to j.chunkTasks,
-    ) + encodeChunk(j.chunks[0] ?: Chunk.empty())
+    ) + encodeChunk(j.chunks[0] ?: JobChunk.empty())
 
     fun decodeHead(o: FieldMap, version: ULong): Job = Job(
         spec = spec(o.requireMap("spec")),
@@ -87,13 +87,13 @@
         version = version,
     )
 
-    fun encodeChunk(c: Chunk): Map<String, Any?> = mapOf(
+    fun encodeChunk(c: JobChunk): Map<String, Any?> = mapOf(
         "next" to c.next,
         "done" to ranges(c.done),
         "placed" to c.placed.values.map { listOf(it.index, it.attempt, it.machineName, it.incarnation, it.stopping) },
     ) + (if (c.interrupted.isEmpty()) emptyMap() else mapOf("lost" to ranges(bits(c.interrupted))))
 
-    fun decodeChunk(o: FieldMap, version: ULong): Chunk {
+    fun decodeChunk(o: FieldMap, version: ULong): JobChunk {
         val done = bits(o, "done")
         val placed = o.list("placed").orEmpty().map { row ->
             row as List<*>
@@ -106,7 +106,7 @@
             )
         }
         val interrupted = bits(o, "lost").stream().toArray().toSet()
-        return Chunk(o.requireUnsigned("next").toLong(), done, placed.associateBy { it.index }, version, interrupted)
+        return JobChunk(o.requireUnsigned("next").toLong(), done, placed.associateBy { it.index }, version, interrupted)
     }
 
     fun encodeFinished(f: FinishedJob): Map<String, Any?> = mapOf("aborted" to f.aborted, "done" to f.done)
@@ -128,13 +128,14 @@
     fun status(f: FinishedJob): Map<String, Any?> =
         mapOf("id" to f.id, "phase" to if (f.aborted) "aborted" else "done", "done" to f.done, "running" to 0)
 
-    /** Splits a task's name into its job's id and its number. */
-    fun task(name: String): Pair<String, Int>? {
-        val at = name.indexOf('/')
-        val index = if (at > 0) name.substring(at + 1).toIntOrNull() else null
-        return if (index == null || index < 0) null else name.substring(0, at) to index
+    /** Reads a task's name, its job's id and its index; null if it has another form. */
+    fun parseTaskId(name: String): TaskId? {
+        val slash = name.indexOf('/')
+        val index = if (slash > 0) name.substring(slash + 1).toIntOrNull() else null
+        return if (index == null || index < 0) null else TaskId(name.substring(0, slash), index)
     }
 
+    /** The name of a task on the wire. */
     fun taskName(id: String, index: Int): String = "$id/$index"
 
     private fun bits(o: FieldMap, key: String): BitSet {
--- a/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
@@ -10,7 +10,6 @@
 import flaxfield.controller.ControllerContext
 import flaxfield.net.Body
 import flaxfield.net.Responder
-import flaxfield.settings.StateLimits
 import flaxfield.store.Change
 import flaxfield.store.ReadResult
 import flaxfield.store.StoreKeys
@@ -35,7 +34,7 @@
     private val waiters = ArrayList<Waiter>()
     private var confirming = false
     private var nextConfirmNs = 0L
-    private val chunkTasks = chunkTasks(context.settings.stateLimits)
+    private val chunkTasks = JobTransactions.tasksPerChunk(context.settings.stateLimits)
 
     fun submit(body: ByteArray, responder: Responder) {
         val spec = try {
@@ -57,7 +56,7 @@
         if (refusal != null) return refused(spec, refusal, responder)
         if (stateSeemsAway()) return later(responder, "the state service does not answer")
         accept(
-            Job(spec, context.nowMs, null, emptyList(), 0, 0, chunkTasks, mapOf(0 to Chunk.empty()), 0uL),
+            Job(spec, context.nowMs, null, emptyList(), 0, 0, chunkTasks, mapOf(0 to JobChunk.empty()), 0uL),
             responder,
             mayBegin = true,
         )
@@ -182,7 +181,7 @@
         // Of a job with several chunks a placement may just be committed in one: only those after the cancellation
         // fail.
         val txn = if (job.placedCount == 0 && job.spec.taskCount <= job.chunkTasks) {
-            TaskEventCommitter.over(context, cancelled, aborted = true, fenced = false)
+            JobTransactions.close(context, cancelled, aborted = true, fenced = false)
         } else {
             Transaction(mapOf(key to job.version), listOf(Change.Put(key, JobCodec.encodeHead(cancelled))))
         }
@@ -291,20 +290,11 @@
     )
 
     companion object {
-        /** How many tasks' records share a value; the first chunk shares it with the job itself. */
-        fun chunkTasks(limits: StateLimits): Int =
-            (limits.valueKb * BYTES_PER_KIB * CHUNK_SHARE / RECORD_BYTES).toInt().coerceAtLeast(1)
-
         private val log = LoggerFactory.getLogger("flaxfield.jobs")
 
-        /** Half a value for placed tasks; the rest is for the job itself, done ranges and growth. */
-        private const val CHUNK_SHARE = 0.5
-
         /** What the job as submitted may take of its value. */
         private const val SPEC_SHARE = 0.3
 
-        /** A placed task's record as the store counts it: index, attempt, host, session, flag. */
-        private const val RECORD_BYTES = 40
         private const val CANCEL_TRIES = 6
         private const val MAX_WAITERS = 512
 
--- a/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
+++ b/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
@@ -5,13 +5,13 @@
 import org.slf4j.LoggerFactory
 
 /** Why a job makes no progress. */
-enum class Stall { BACKS_OFF, WAITS_FOR_ROOM, WAITS_FOR_PROOF, RUNS, HOST_GONE }
+enum class Stall { BACKS_OFF, WAITS_FOR_ROOM, WAITS_FOR_PROOF, RUNS, MACHINE_GONE }
 
 /** Pure: what keeps a job from moving on. */
 object StallRules {
     /** [known] tells whether a host's record exists: it is dropped only once its return was answered. */
     fun reason(job: Job, nowMs: Long, known: (String) -> Boolean): Stall = when {
-        job.allPlaced().any { !known(it.machineName) } -> Stall.HOST_GONE
+        job.allPlaced().any { !known(it.machineName) } -> Stall.MACHINE_GONE
         job.retryAtMs > nowMs -> Stall.BACKS_OFF
         job.pendingCount > 0 -> Stall.WAITS_FOR_ROOM
         job.cancelled || job.allPlaced().any { it.stopping } -> Stall.WAITS_FOR_PROOF
@@ -50,7 +50,7 @@
         val stillS = (context.nowNs - seen.sinceNs) / NANOS_PER_SECOND
         val known = context.view.machines::containsKey
         if (stillS > context.settings.workers.leaseS &&
-            StallRules.reason(job, context.nowMs, known) == Stall.HOST_GONE
+            StallRules.reason(job, context.nowMs, known) == Stall.MACHINE_GONE
         ) {
             // A host's record goes only with the answer to its return, and names are never used again.
             for (p in job.allPlaced().filter { !known(it.machineName) }) {
--- a/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
@@ -3,281 +3,178 @@
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.settings.StateLimits
-import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
 import flaxfield.store.TransactionOutcome
 import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
-/** Commits proofs about tasks to their jobs' records, and closes jobs that are over. */
+/**
+ * Commits task events to their jobs' records, and closes jobs that are over. An event is kept until the view shows
+ * that the record has moved on. Used by the owner thread only.
+ */
 class TaskEventCommitter(private val context: ControllerContext) {
-    /** Proofs about one job that the view does not show yet. */
-    private class Proofs(var sinceNs: Long) {
-        val events = LinkedHashMap<Pair<Int, Long>, TaskEvent>()
+    private data class AttemptKey(val index: Int, val attempt: Long)
+
+    /** Events about one job that the view does not show yet, in the order in which they came. */
+    private class PendingEvents(var sinceNs: Long) {
+        val byAttempt = LinkedHashMap<AttemptKey, TaskEvent>()
     }
 
-    private val pending = LinkedHashMap<String, Proofs>()
+    private val pending = LinkedHashMap<String, PendingEvents>()
+    private val sweeper = FinishedJobSweeper(context)
 
-    /** Takes a proof; it is kept until the view shows that the record has moved on. */
-    fun add(e: TaskEvent) {
-        val known = pending.getOrPut(e.job) { Proofs(context.nowNs) }.events.put(e.index to e.attempt, e)
+    /** Takes an event; a repeated one replaces the first. */
+    fun add(event: TaskEvent) {
+        val events = pending.getOrPut(event.job) { PendingEvents(context.nowNs) }
+        val known = events.byAttempt.put(AttemptKey(event.index, event.attempt), event)
         if (known == null) context.decisions.request()
     }
 
-    /** Sends what can be sent now. */
+    /** Sends what may be sent now. */
     fun run() {
         val term = context.leadership.term() ?: return
         if (!context.leadership.mayAct()) return
-        val wanted by lazy(LazyThreadSafetyMode.NONE) {
-            context.view.jobs.values.any {
-                !it.cancelled &&
-                    it.pendingCount > 0
-            }
+        val someTaskIsPending by lazy(LazyThreadSafetyMode.NONE) {
+            context.view.jobs.values.any { !it.cancelled && it.pendingCount > 0 }
         }
-        for (id in inOrder()) {
-            val proofs = pending[id] ?: continue
-            val job = context.view.jobs[id]
-            proofs.events.values.removeIf { job?.placed(it.index)?.attempt != it.attempt }
-            if (job == null || proofs.events.isEmpty()) {
-                pending.remove(id)
-                continue
-            }
-            // Asked when they are committed, not when they come: a controller inside a lost zone learnt of the loss
-            // only after the reports of its return, and had tasks started again whose class forbids it.
-            val events = proofs.events.values.filterNot { context.zones?.mustDefer(it) ?: false }
+        for (id in commitOrder()) {
+            val jobEvents = pending[id] ?: continue
+            val job = dropOutdated(id, jobEvents) ?: continue
+            // Asked at the commit, not when they come: a controller inside a lost zone may learn of the loss only
+            // after the heartbeats of its return.
+            val events = jobEvents.byAttempt.values.filterNot { context.zones?.mustDefer(it) ?: false }
             if (events.isEmpty()) continue
-            val hurry = hurry(job, events)
-            if (!hurry && !gathered(proofs) { wanted }) continue
-            // Not even what is most urgent may be written: the rest waits as well.
+            val urgent = isUrgent(job, events)
+            if (!urgent && !hasGathered(jobEvents) { someTaskIsPending }) continue
+            // If not even the most urgent write is allowed, the rest waits as well.
             if (!context.transactions.mayWrite(WriteCause.FINISH, 1)) break
-            val cause = when {
-                hurry && small(job) -> WriteCause.CLOSE
-                hurry -> WriteCause.FINISH
-                events.size >= FEW -> WriteCause.PROOF
-                else -> WriteCause.TRICKLE
-            }
-            if (context.transactions.mayWrite(cause, 1) &&
-                settle(job, events, term, cause)
-            ) {
-                proofs.sinceNs = context.nowNs
+            val cause = writeCause(job, events, urgent)
+            if (context.transactions.mayWrite(cause, 1) && commit(job, events, term, cause)) {
+                jobEvents.sinceNs = context.nowNs
             }
         }
-        if (context.leadership.isLeader()) sweep()
+        if (context.leadership.isLeader()) sweeper.run()
     }
 
-    /**
-     * The jobs with proofs, in the order in which these are committed: as they came, the most urgent first in a
-     * recovery.
-     */
-    private fun inOrder(): List<String> {
+    /** Drops events whose attempt is not recorded any more; null if none are left. */
+    private fun dropOutdated(id: String, jobEvents: PendingEvents): Job? {
+        val job = context.view.jobs[id]
+        jobEvents.byAttempt.values.removeIf { job?.placed(it.index)?.attempt != it.attempt }
+        if (job != null && jobEvents.byAttempt.isNotEmpty()) return job
+        pending.remove(id)
+        return null
+    }
+
+    /** The jobs with events in the order of their commits: as they came, in a zone recovery the most urgent first. */
+    private fun commitOrder(): List<String> {
         val zones = context.zones?.takeIf { it.isRecovering } ?: return pending.keys.toList()
-        val (known, over) = pending.keys.partition { it in context.view.jobs }
-        return zones.sort(
-            known.mapNotNull {
-                context.view.jobs[it]
-            },
-            context.scheduling.teamUsage(),
-            overdueBeforeMs = 0,
-        ).map { it.id } +
-            over
+        val (inView, gone) = pending.keys.partition { it in context.view.jobs }
+        val jobs = inView.mapNotNull { context.view.jobs[it] }
+        return zones.sort(jobs, context.scheduling.teamUsage(), overdueBeforeMs = 0).map { it.id } + gone
     }
 
-    /**
-     * Whether someone waits for just this: a task to start again, a gang, or the end of this part's share of the job.
-     */
-    private fun hurry(job: Job, events: List<TaskEvent>): Boolean = job.isGang ||
+    /** Whether something waits for this: a task to start again, a gang, or the end of this shard's share of the job. */
+    private fun isUrgent(job: Job, events: List<TaskEvent>): Boolean = job.isGang ||
         job.cancelled ||
         events.any { it is TaskEvent.Lost } ||
         events.size >= job.placedCount ||
-        events.size >= job.allPlaced().count { mine(it.machineName) }
+        events.size >= job.allPlaced().count { isOwned(it.machineName) }
+
+    private fun isOwned(machineName: String): Boolean =
+        context.view.machines[machineName]?.let { context.shards.owns(it) } ?: true
 
-    private fun small(job: Job) =
-        !job.isGang && !job.cancelled && job.spec.taskCount < FEW && job.spec.priority == Priority.IDLE
+    private fun writeCause(job: Job, events: List<TaskEvent>, urgent: Boolean): WriteCause = when {
+        urgent && isSmallIdleArray(job) -> WriteCause.CLOSE
+        urgent -> WriteCause.FINISH
+        events.size >= JobTransactions.BULK_TASKS -> WriteCause.PROOF
+        else -> WriteCause.TRICKLE
+    }
 
-    private fun mine(machineName: String) = context.view.machines[machineName]?.let { context.shards.owns(it) } ?: true
+    private fun isSmallIdleArray(job: Job): Boolean = !job.isGang &&
+        !job.cancelled &&
+        job.spec.taskCount < JobTransactions.BULK_TASKS &&
+        job.spec.priority == Priority.IDLE
 
-    /** Ends of an array's tasks gather for a while, unless changes are plenty: several of them are one write. */
-    private fun gathered(proofs: Proofs, wanted: () -> Boolean): Boolean {
+    /** Ends of an array's tasks gather for a while, unless writes are plenty: several of them are one write. */
+    private fun hasGathered(jobEvents: PendingEvents, someTaskIsPending: () -> Boolean): Boolean {
         if (context.transactions.budget.ample(context.nowNs)) return true
-        val wait = context.settings.workers.heartbeatIntervalS * if (wanted()) WANTED_HEARTBEATS else GATHER_HEARTBEATS
-        val due = proofs.sinceNs + (wait * NANOS_PER_SECOND).toLong()
-        if (context.nowNs < due) context.decisions.requestAt(due)
-        return context.nowNs >= due
+        val heartbeats = if (someTaskIsPending()) GATHER_HEARTBEATS_IF_PENDING else GATHER_HEARTBEATS
+        val waitNs = (context.settings.workers.heartbeatIntervalS * heartbeats * NANOS_PER_SECOND).toLong()
+        val dueNs = jobEvents.sinceNs + waitNs
+        if (context.nowNs < dueNs) context.decisions.requestAt(dueNs)
+        return context.nowNs >= dueNs
     }
 
-    private fun settle(job: Job, all: List<TaskEvent>, term: ULong, cause: WriteCause): Boolean {
+    private fun commit(job: Job, all: List<TaskEvent>, term: ULong, cause: WriteCause): Boolean {
         // As many chunks as one transaction holds; the others follow in the next.
-        val some = all.mapTo(LinkedHashSet()) {
-            it.index / job.chunkTasks
-        }.take(chunksAtOnce(context.settings.stateLimits)).toSet()
-        if ((some + 0).any { context.transactions.isWritePending(StoreKeys.chunk(job.id, it)) }) return false
-        val events = all.filter { it.index / job.chunkTasks in some }
-        val next = TaskEventRules.apply(
-            job,
-            events,
-            context.nowMs,
-            (context.settings.workers.heartbeatIntervalS * BACKOFF_HEARTBEATS * MILLIS_PER_SECOND).toLong(),
-            tracksLosses = context.subsystem != null,
-        )
+        val chunks = all.mapTo(LinkedHashSet()) { it.index / job.chunkTasks }
+            .take(JobTransactions.maxChunks(context.settings.stateLimits))
+            .toSet()
+        if ((chunks + 0).any { context.transactions.isWritePending(StoreKeys.chunk(job.id, it)) }) return false
+        val events = all.filter { it.index / job.chunkTasks in chunks }
+        val backoffMs = context.settings.workers.heartbeatIntervalS * BACKOFF_HEARTBEATS * MILLIS_PER_SECOND
+        val tracksLosses = context.subsystem != null
+        val next = TaskEventRules.apply(job, events, context.nowMs, backoffMs.toLong(), tracksLosses)
         if (next === job) return false
-        val over = next.complete || (next.cancelled && next.placedCount == 0)
-        val txn = if (over) {
-            over(
-                context,
-                next,
-                aborted = !next.complete || next.cancelled,
-                fenced = true,
-            )
-        } else {
-            marked(write(job, next, term).fencedByZones(job, events), events)
-        }
-        return context.transactions.submit(cause, txn) { outcome ->
-            if (outcome is TransactionOutcome.Committed) {
-                for (e in events) {
-                    log.info(
-                        "job={} task={} attempt={} term={} {}",
-                        e.job,
-                        e.index,
-                        e.attempt,
-                        term,
-                        describe(e),
-                    )
-                }
-                if (over) log.info("job={} over done={} cancelled={}", next.id, next.doneCount, next.cancelled)
-            }
+        return context.transactions.submit(cause, transaction(job, next, events, term)) { outcome ->
+            if (outcome is TransactionOutcome.Committed) logCommitted(next, events, term)
         }
     }
 
-    /** Where a class forbids repeats, what is not known to have ended holds only if its zone is as this view has it. */
-    private fun Transaction.fencedByZones(job: Job, events: List<TaskEvent>): Transaction {
-        val zones = context.zones ?: return this
-        return copy(conditions = conditions + zones.fences(job, events).associateWith { context.view.version(it) })
+    private fun transaction(job: Job, next: Job, events: List<TaskEvent>, term: ULong): Transaction {
+        if (next.isOver) {
+            return JobTransactions.close(context, next, aborted = !next.complete || next.cancelled, fenced = true)
+        }
+        val update = withZoneFences(JobTransactions.update(job, next, term), job, events)
+        val marked = JobTransactions.withLossMark(context, update)
+        return if (events.any { it is TaskEvent.Lost }) marked else update
     }
 
-    /** With disruption budgets on, a loss is told in this node's mark as well: no drain steps on a view without it. */
-    private fun marked(txn: Transaction, events: List<TaskEvent>): Transaction {
-        val mark = context.subsystem?.lossMark()
-        return if (mark == null || events.none { it is TaskEvent.Lost }) txn else txn.copy(changes = txn.changes + mark)
+    /** Where a class forbids repeats, a loss of unknown outcome holds only if its zone is as this view has it. */
+    private fun withZoneFences(transaction: Transaction, job: Job, events: List<TaskEvent>): Transaction {
+        val zones = context.zones ?: return transaction
+        val fences = zones.fences(job, events).associateWith { context.view.version(it) }
+        return transaction.copy(conditions = transaction.conditions + fences)
     }
 
-    /** Jobs that are over but still in the live keys: a cancel met the last exit on its way, for example. */
-    private fun sweep() {
-        for (job in context.view.jobs.values) {
-            val over = job.complete || (job.cancelled && job.placedCount == 0)
-            if (!over || context.transactions.isWritePending(StoreKeys.JOB + job.id)) continue
-            if (!context.transactions.submit(
-                    WriteCause.FINISH,
-                    over(context, job, aborted = job.cancelled, fenced = true),
+    private fun logCommitted(job: Job, events: List<TaskEvent>, term: ULong) {
+        for (event in events) {
+            when (event) {
+                is TaskEvent.Completed ->
+                    log.info(
+                        "event=task_done term={} job={} task={} attempt={}",
+                        term,
+                        event.job,
+                        event.index,
+                        event.attempt,
+                    )
+                is TaskEvent.Lost -> log.info(
+                    "event=task_lost term={} job={} task={} attempt={} machine={} reason={}",
+                    term,
+                    event.job,
+                    event.index,
+                    event.attempt,
+                    event.machineName,
+                    event.reason,
                 )
-            ) {
-                return
             }
         }
-        val strays = context.view.strayChunks.keys.filter {
-            !context.transactions.isWritePending(
-                StoreKeys.JOB_CHUNK + it,
-            )
+        if (job.isOver) {
+            log.info("event=job_over term={} job={} done={} cancelled={}", term, job.id, job.doneCount, job.cancelled)
         }
-        if (strays.isNotEmpty()) {
-            val some = strays.take(context.settings.stateLimits.txnOps / 2)
-            context.transactions.submit(
-                WriteCause.ROOM,
-                Transaction(
-                    fence(context),
-                    some.map {
-                        Change.Delete(
-                            StoreKeys.JOB_CHUNK + it,
-                        )
-                    },
-                ),
-            )
-        }
-    }
-
-    private fun describe(e: TaskEvent): String = when (e) {
-        is TaskEvent.Completed -> "done"
-        is TaskEvent.Lost -> "left host=${e.machineName} why=${e.why}"
     }
 
-    companion object {
-        private val log = LoggerFactory.getLogger("flaxfield.jobs")
-
-        /** A job that fails everywhere is tried again after this many report intervals, then twice as many. */
-        private const val BACKOFF_HEARTBEATS = 2
+    private companion object {
+        val log = LoggerFactory.getLogger("flaxfield.jobs")
 
-        /** So many tasks of one job are worth a write of their own also when changes are scarce. */
-        const val FEW = 4
+        /** A job that fails everywhere is retried after this many heartbeat intervals, then after twice as many. */
+        const val BACKOFF_HEARTBEATS = 2
 
-        /** Ends gather for so many report intervals while some job waits for room, */
-        private const val WANTED_HEARTBEATS = 0.4
+        /** Ends gather for so many heartbeat intervals while a pending task waits for their resources, */
+        const val GATHER_HEARTBEATS_IF_PENDING = 0.4
 
         /** and for so many while none does. */
-        private const val GATHER_HEARTBEATS = 1.5
-
-        /** PROTOCOL-flaxfield.md: a transaction's size in all. */
-        private const val TXN_KB = 64.0
-
-        /** How many chunks of one job a transaction may change besides its head, each at most a value in size. */
-        fun chunksAtOnce(limits: StateLimits): Int =
-            minOf(limits.txnOps / 2, (TXN_KB / limits.valueKb).toInt() - 1).coerceAtLeast(1)
-
-        /** The condition that every decision's transaction carries: the assignment it was made under. */
-        fun fence(context: ControllerContext): Map<String, ULong> = mapOf(
-            StoreKeys.ASSIGNMENT to context.view.version(StoreKeys.ASSIGNMENT),
-        )
-
-        /**
-         * The transaction that replaces [old]'s record by [next]. The head's version is always a condition, since it
-         * tells of a cancellation; it is written only if it changes, or if the job's tasks depend on one another.
-         * Written each time, it made parts that place and end tasks in different chunks of one array fail one another.
-         */
-        fun write(old: Job, next: Job, term: ULong): Transaction {
-            val head = old.tasksAreCoupled || !old.sameHead(next)
-            val changed = next.chunks.filter { (n, c) -> n == 0 && head || old.chunks[n] !== c }
-            val conditions = HashMap<String, ULong>()
-            conditions[StoreKeys.ASSIGNMENT] = term
-            conditions[StoreKeys.JOB + old.id] = old.version
-            for (n in changed.keys) {
-                conditions[StoreKeys.chunk(old.id, n)] =
-                    if (n == 0) old.version else old.chunks[n]?.version ?: 0uL
-            }
-            val puts = changed.map { (n, c) ->
-                Change.Put(
-                    StoreKeys.chunk(old.id, n),
-                    if (n ==
-                        0
-                    ) {
-                        JobCodec.encodeHead(next)
-                    } else {
-                        JobCodec.encodeChunk(c)
-                    },
-                )
-            }
-            return Transaction(conditions, puts)
-        }
-
-        /** The transaction that moves a job to the finished ones. Chunks beyond a transaction's size follow later. */
-        fun over(context: ControllerContext, job: Job, aborted: Boolean, fenced: Boolean): Transaction {
-            val head = StoreKeys.JOB + job.id
-            val conditions = HashMap<String, ULong>()
-            conditions[head] = job.version
-            if (fenced) conditions += fence(context)
-            val parts = job.chunks.keys.filter { it != 0 && context.view.version(StoreKeys.chunk(job.id, it)) != 0uL }
-            val changes = ArrayList<Change>()
-            changes +=
-                Change.Put(
-                    StoreKeys.FINISHED_JOB + job.id,
-                    JobCodec.encodeFinished(FinishedJob(job.id, aborted, job.doneCount)),
-                )
-            changes += Change.Delete(head)
-            for (n in parts.take(context.settings.stateLimits.txnOps - changes.size)) {
-                val key = StoreKeys.chunk(job.id, n)
-                conditions[key] = context.view.version(key)
-                changes += Change.Delete(key)
-            }
-            return Transaction(conditions, changes)
-        }
+        const val GATHER_HEARTBEATS = 1.5
     }
 }
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -9,8 +9,8 @@
 import flaxfield.fleet.MachineReservation
 import flaxfield.fleet.MachineType
 import flaxfield.fleet.Rental
-import flaxfield.jobs.Chunk
 import flaxfield.jobs.Job
+import flaxfield.jobs.JobChunk
 import flaxfield.jobs.JobCodec
 import flaxfield.jobs.Placement
 import flaxfield.jobs.Resources
@@ -57,7 +57,7 @@
         private set
 
     /** Chunks whose head is not in the view: listed before their head, or left over by a finished job. */
-    val strayChunks = HashMap<String, Chunk>()
+    val strayChunks = HashMap<String, JobChunk>()
 
     /**
      * Task records by host and job, kept with each change: a report of one machine, or a look at its free
--- a/src/main/kotlin/flaxfield/workers/DirectCommandSender.kt
+++ b/src/main/kotlin/flaxfield/workers/DirectCommandSender.kt
@@ -6,29 +6,32 @@
 import flaxfield.settings.Address
 
 /**
- * Sends `/do` to workers: halts and epoch pushes only, since such a command may be executed late. Each goes on a
- * connection of its own, at most [most] at once: kept open, those to workers of the past took up the sockets that
- * others report on. What finds no place is not sent: reports get the same orders, and silent workers are pushed again.
+ * Sends `/do` to workers: halts and pushes of the term only, since such a command may be executed late. Each goes on a
+ * connection of its own, at most [maxInFlight] at once: kept open, connections to machines that are gone would take up
+ * sockets that other workers report on. A command beyond the limit is not sent: responses to heartbeats carry the same
+ * commands, and a silent worker is sent the term again.
  */
 class DirectCommandSender(
     private val timeoutMs: Long,
-    private val most: Int,
+    private val maxInFlight: Int,
     private val connect: (Address) -> HttpTransport,
 ) {
-    private var underWay = 0
+    private var inFlight = 0
 
     /**
-     * The answer is not used: a report by `/do` may be older than a launch on its way. [post] leads back to the owner.
+     * Sends [message] to the worker at [address]; false if it is not sent. The response is not used: its heartbeat may
+     * be older than a launch on its way. [post] hands work to the owner thread.
      */
     fun send(address: String, message: Map<String, Any?>, post: (() -> Unit) -> Unit): Boolean {
-        if (underWay >= most) return false
+        if (inFlight >= maxInFlight) return false
         val parsed = try {
             Address.parse(address)
         } catch (e: MalformedException) {
+            // The address is the worker's own word; a wrong one only means that nothing can be sent there.
             return false
         }
-        underWay++
-        connect(parsed).send("POST", "/do", Cbor.encode(message), timeoutMs) { post { underWay-- } }
+        inFlight++
+        connect(parsed).send("POST", "/do", Cbor.encode(message), timeoutMs) { post { inFlight-- } }
         return true
     }
 }
--- a/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
+++ b/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
@@ -2,170 +2,138 @@
 
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
-import flaxfield.jobs.TaskEventCommitter
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.StoreKeys
 import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
-/** Tells workers what can't wait for their next report: halts, and the epoch where they do not come by themselves. */
+/**
+ * Tells workers what can't wait for their next heartbeat: halts, and the term where they do not report by themselves.
+ * Also records which tasks are to stop. Used by the owner thread only.
+ */
 class HaltDispatcher(
     private val context: ControllerContext,
     private val workerHealth: WorkerHealth,
     private val direct: DirectCommandSender,
 ) {
-    /** The cloud takes the machine back soon: tasks that can save are stopped, so that they go on elsewhere. */
-    fun drain(heartbeat: Heartbeat, term: ULong) {
-        for (list in context.view.on(heartbeat.machineName).groupBy { it.job.id }.values) {
-            val job = list.first().job
-            if (job.spec.checkpointIntervalS <= 0.0 ||
-                job.isGang &&
-                job.spec.taskCount > 1 &&
-                list.size == job.spec.taskCount
-            ) {
-                continue
-            }
-            stop(
-                job.id,
-                list.filter {
-                    !it.placed.stopping
-                }.map { it.placed.index },
-                term,
-                "notice on ${heartbeat.machineName}",
-            )
+    private val heartbeatIntervalNs = context.settings.workers.heartbeatIntervalS * NANOS_PER_SECOND
+    private val quietNs = (context.settings.workers.heartbeatIntervalS * QUIET_HEARTBEATS * NANOS_PER_SECOND).toLong()
+
+    /**
+     * The cloud takes the machine back soon: tasks with checkpoints are stopped, so that they go on elsewhere. A gang
+     * that is placed on this machine as a whole runs on to the end.
+     */
+    fun stopForTerminationNotice(heartbeat: Heartbeat, term: ULong) {
+        for (tasks in context.view.on(heartbeat.machineName).groupBy { it.job.id }.values) {
+            val job = tasks.first().job
+            val isWholeGang = job.isGang && job.spec.taskCount > 1 && tasks.size == job.spec.taskCount
+            if (job.spec.checkpointIntervalS <= 0.0 || isWholeGang) continue
+            val running = tasks.filter { !it.placed.stopping }.map { it.placed.index }
+            stop(job.id, running, term, "termination_notice:${heartbeat.machineName}")
         }
     }
 
-    /** Records that tasks are to stop; their halts follow from the records. */
-    fun stop(id: String, tasks: List<Int>, term: ULong, why: String) {
+    /** Records that [tasks] of a job are to stop, or all of a gang; their halts follow from the records. */
+    fun stop(id: String, tasks: List<Int>, term: ULong, reason: String) {
         val job = context.view.jobs[id] ?: return
-        if (tasks.isEmpty() ||
-            job.chunks.keys.any { context.transactions.isWritePending(StoreKeys.chunk(id, it)) }
-        ) {
-            return
-        }
-        val all = if (job.isGang) job.allPlaced().map { it.index }.toList() else tasks
-        val write = TaskEventCommitter.write(job, job.stop(all), term)
-        val mark = context.subsystem?.lossMark()
-        val sent = context.transactions.submit(
-            WriteCause.GANG,
-            if (mark ==
-                null
-            ) {
-                write
-            } else {
-                write.copy(changes = write.changes + mark)
-            },
-        )
-        if (sent) log.info("job={} tasks={} term={} to stop: {}", id, all, term, why)
+        if (tasks.isEmpty()) return
+        if (job.chunks.keys.any { context.transactions.isWritePending(StoreKeys.chunk(id, it)) }) return
+        val stopped = if (job.isGang) job.allPlaced().map { it.index }.toList() else tasks
+        val update = JobTransactions.update(job, job.stop(stopped), term)
+        val sent = context.transactions.submit(WriteCause.GANG, JobTransactions.withLossMark(context, update))
+        if (sent) log.info("event=tasks_stopping term={} job={} tasks={} reason={}", term, id, stopped, reason)
     }
 
     /**
-     * Halts at once what the records no longer want, without waiting for the next report. What is cancelled is halted
-     * also while our lease is over, and where the machine has not reported to us yet: its records and its last summary
-     * tell enough. A halt of a cancelled task is right under any term, and a worker drops it if it knows a newer one.
+     * Halts at once what the records no longer want, without waiting for the next heartbeat. Tasks of cancelled jobs
+     * are halted also while our lease is over, and where the machine has not reported to us yet: its records and its
+     * last status tell enough. Such a halt is right under any term, and a worker drops it if it knows a newer one.
      */
     fun haltNow() {
         val term = context.view.assignment?.term ?: return
         if (context.view.halting.isEmpty()) return
         val mayAct = context.leadership.mayAct()
-        val halting = context.view.halting.flatMapTo(LinkedHashSet()) { id ->
-            val job = context.view.jobs[id]
-            job?.allPlaced()?.filter {
-                job.cancelled || mayAct && it.stopping
-            }?.map { it.machineName }?.toList().orEmpty()
-        }
-        for (machineName in halting) {
-            val zone =
-                context.view.machines[machineName]?.zone ?: workerHealth.known(machineName)?.heartbeat?.zone ?: continue
-            if (!context.shards.owns(machineName, zone)) continue
-            val workerState = workerHealth.workerState(machineName)
-            if (context.nowNs - workerState.haltedNs <
-                context.settings.workers.heartbeatIntervalS * NANOS_PER_SECOND
-            ) {
-                continue
-            }
-            val halts = HeartbeatReconciler.haltsNow(
-                context.view.on(machineName),
-                workerState.heartbeat,
-                quiet(workerState),
-                mayAct,
-            )
-            if (halts.isEmpty()) continue
-            val worker = worker(workerState) ?: continue
-            if (!direct.send(
-                    worker.address,
-                    HeartbeatCodec.encodeDirect(term, worker.incarnation, halts),
-                    context.post,
-                )
-            ) {
-                continue
-            }
-            workerState.haltedNs = context.nowNs
-            log.debug("machine={} term={} direct={}", machineName, term, halts)
+        for (machineName in machinesToHalt(mayAct)) {
+            val zone = zoneOf(machineName) ?: continue
+            if (context.shards.owns(machineName, zone)) haltOn(machineName, term, mayAct)
         }
     }
 
-    /** Where a worker is to be reached. */
-    private class Reached(val address: String, val incarnation: ULong)
+    private fun machinesToHalt(mayAct: Boolean): Set<String> = context.view.halting.flatMapTo(LinkedHashSet()) { id ->
+        val job = context.view.jobs[id]
+        job?.allPlaced()?.filter { job.cancelled || mayAct && it.stopping }?.map { it.machineName }?.toList().orEmpty()
+    }
 
-    /**
-     * By what it last told us or, if that is newer, an earlier owner: a late copy may have been the first that we
-     * heard.
-     */
-    private fun worker(workerState: WorkerState): Reached? {
-        val heartbeat = workerState.heartbeat
-        val room = context.view.lastKnownStatus(workerState.machineName)?.takeIf {
-            it.incarnation > 0uL &&
-                it.address.isNotEmpty()
-        }
-        return when {
-            heartbeat != null && (room == null || heartbeat.incarnation >= room.incarnation) -> Reached(
-                heartbeat.address,
-                heartbeat.incarnation,
-            )
-            room != null -> Reached(room.address, room.incarnation)
-            else -> null
-        }
+    private fun zoneOf(machineName: String): String? =
+        context.view.machines[machineName]?.zone ?: workerHealth.known(machineName)?.heartbeat?.zone
+
+    private fun haltOn(machineName: String, term: ULong, mayAct: Boolean) {
+        val workerState = workerHealth.workerState(machineName)
+        if (context.nowNs - workerState.haltSentNs < heartbeatIntervalNs) return
+        val halts = HeartbeatReconciler.haltsNow(
+            context.view.on(machineName),
+            workerState.heartbeat,
+            isQuiet(workerState),
+            mayAct,
+        )
+        if (halts.isEmpty() || !sendDirect(workerState, term, halts)) return
+        workerState.haltSentNs = context.nowNs
+        log.debug("event=direct_halt term={} machine={} commands={}", term, machineName, halts)
     }
 
-    private fun quiet(workerState: WorkerState): Boolean = context.nowNs - workerState.lastHeartbeatNs >
+    private fun isQuiet(workerState: WorkerState): Boolean = context.nowNs - workerState.lastHeartbeatNs >
         context.settings.workers.heartbeatIntervalS * QUIET_HEARTBEATS * NANOS_PER_SECOND
 
+    /** Pushes the term to silent workers, while this process may act. */
     fun tick() {
         workerHealth.observeTerm()
         val term = context.leadership.term() ?: return
-        if (context.leadership.mayAct()) push(term)
+        if (context.leadership.mayAct()) pushTerm(term)
+    }
+
+    /** Tells our workers the term when they do not report: they may be kept by a controller that is cut off. */
+    private fun pushTerm(term: ULong) {
+        for (machine in context.shards.ownedMachines()) {
+            val workerState = workerHealth.workerState(machine.name)
+            val sinceNs = maxOf(workerState.lastHeartbeatNs, workerHealth.ownerSinceNs, workerState.termPushedNs)
+            if (context.nowNs - sinceNs < quietNs) continue
+            if (!sendDirect(workerState, term, emptyList())) continue
+            workerState.termPushedNs = context.nowNs
+            log.debug("event=term_pushed term={} machine={}", term, machine.name)
+        }
+    }
+
+    /** Whether [commands] were sent: not if the worker's address is not known, or too many are being sent. */
+    private fun sendDirect(workerState: WorkerState, term: ULong, commands: List<WorkerCommand>): Boolean {
+        val worker = endpointOf(workerState) ?: return false
+        val message = HeartbeatCodec.encodeDirect(term, worker.incarnation, commands)
+        return direct.send(worker.address, message, context.post)
     }
 
-    /** Tells our workers the epoch when they do not come by themselves: they may be held at a node cut off. */
-    private fun push(term: ULong) {
-        val quiet = (context.settings.workers.heartbeatIntervalS * QUIET_HEARTBEATS * NANOS_PER_SECOND).toLong()
-        for (m in context.shards.ownedMachines()) {
-            val machineName = m.name
-            val workerState = workerHealth.workerState(machineName)
-            if (context.nowNs - maxOf(workerState.lastHeartbeatNs, workerHealth.ownerSinceNs, workerState.pushedNs) <
-                quiet
-            ) {
-                continue
-            }
-            val worker = worker(workerState) ?: continue
-            if (!direct.send(
-                    worker.address,
-                    HeartbeatCodec.encodeDirect(term, worker.incarnation, emptyList()),
-                    context.post,
-                )
-            ) {
-                continue
-            }
-            workerState.pushedNs = context.nowNs
-            log.debug("machine={} fencing_token={} pushed", machineName, term)
+    /** Where a worker is to be reached, and the incarnation that a command is meant for. */
+    private class WorkerEndpoint(val address: String, val incarnation: ULong)
+
+    /**
+     * What the worker last reported to us or, if that is newer, to an earlier owner: the first heartbeat that we
+     * receive may be a late copy.
+     */
+    private fun endpointOf(workerState: WorkerState): WorkerEndpoint? {
+        val heartbeat = workerState.heartbeat
+        val status = context.view.lastKnownStatus(workerState.machineName)?.takeIf {
+            it.incarnation > 0uL && it.address.isNotEmpty()
+        }
+        return when {
+            heartbeat != null && (status == null || heartbeat.incarnation >= status.incarnation) ->
+                WorkerEndpoint(heartbeat.address, heartbeat.incarnation)
+            status != null -> WorkerEndpoint(status.address, status.incarnation)
+            else -> null
         }
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.workers")
 
-        /** A worker not heard of for this many report intervals is sent the epoch. */
+        /** A worker that has not reported for this many heartbeat intervals is sent the term. */
         const val QUIET_HEARTBEATS = 2.0
     }
 }
--- /dev/null
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatCodec.kt
@@ -0,0 +1,118 @@
+package flaxfield.workers
+
+import flaxfield.codec.Cbor
+import flaxfield.codec.MalformedException
+import flaxfield.codec.MapReader
+import flaxfield.jobs.JobCodec
+
+/**
+ * Wire forms of heartbeats and of the commands that answer them. The workers' field names appear only here.
+ * Heartbeats are read field by field, without an intermediate map: they come by the hundred a second.
+ */
+object HeartbeatCodec {
+    private val states = mapOf(
+        "pulling" to TaskState.PULLING,
+        "gathering" to TaskState.GATHERING,
+        "running" to TaskState.RUNNING,
+        "saving" to TaskState.SAVING,
+        "ended" to TaskState.ENDED,
+    )
+    private val causes = mapOf(
+        "done" to EndCause.DONE,
+        "stopped" to EndCause.STOPPED,
+        "mates_gone" to EndCause.MATES_GONE,
+        "incomplete" to EndCause.INCOMPLETE,
+        "error" to EndCause.ERROR,
+        "no_room" to EndCause.NO_ROOM,
+        "in_use" to EndCause.IN_USE,
+        "unknown" to EndCause.UNKNOWN,
+    )
+
+    /** Decodes a heartbeat; throws [MalformedException] for a missing or invalid field. */
+    fun decode(body: ByteArray): Heartbeat = Cbor.read(body, ::heartbeat)
+
+    private fun heartbeat(map: MapReader): Heartbeat {
+        var machineName: String? = null
+        var address: String? = null
+        var machineType: String? = null
+        var zone: String? = null
+        var preemptible: Boolean? = null
+        var incarnation: ULong? = null
+        var sequenceNumber: ULong? = null
+        var fencingToken: ULong? = null
+        var terminationNoticeS: Double? = null
+        val tasks = ArrayList<TaskStatus>()
+        map.forEachField { name ->
+            when (name) {
+                "host" -> machineName = map.text()
+                "address" -> address = map.text()
+                "flavor" -> machineType = map.text()
+                "site" -> zone = map.text()
+                "lendable" -> preemptible = map.flag()
+                "tenure" -> incarnation = map.count()
+                "tally" -> sequenceNumber = map.count()
+                "epoch" -> fencingToken = map.count()
+                "warning_s" -> terminationNoticeS = map.number()
+                "shards" -> map.forEachMap { tasks += task(map) }
+            }
+        }
+        return Heartbeat(
+            machineName = machineName ?: missing("host"),
+            address = address ?: missing("address"),
+            machineType = machineType ?: missing("flavor"),
+            zone = zone ?: missing("site"),
+            preemptible = preemptible ?: missing("lendable"),
+            incarnation = incarnation ?: missing("tenure"),
+            sequenceNumber = sequenceNumber ?: missing("tally"),
+            fencingToken = fencingToken ?: 0uL,
+            terminationNoticeS = terminationNoticeS,
+            tasks = tasks,
+        )
+    }
+
+    private fun task(map: MapReader): TaskStatus {
+        var name: String? = null
+        var attempt: ULong? = null
+        var phase: String? = null
+        var why: String? = null
+        map.forEachField { field ->
+            when (field) {
+                "shard" -> name = map.text()
+                "try" -> attempt = map.count()
+                "phase" -> phase = map.text()
+                "cause" -> why = map.text()
+            }
+        }
+        val (job, index) = JobCodec.parseTaskId(name ?: missing("shard"))
+            ?: throw MalformedException("shard is invalid")
+        val state = states[phase] ?: throw MalformedException("phase is invalid")
+        // A cause we do not know is an end all the same: the task is taken as failed on its machine.
+        val cause = if (state == TaskState.ENDED) causes[why] ?: EndCause.ERROR else null
+        return TaskStatus(job, index, attempt ?: missing("try"), state, cause)
+    }
+
+    private fun missing(field: String): Nothing = throw MalformedException("$field is missing or invalid")
+
+    /** The response to a heartbeat: the term as the worker's fencing token, and its commands. */
+    fun encode(fencingToken: ULong, commands: List<WorkerCommand>): Map<String, Any?> = mapOf(
+        "epoch" to fencingToken,
+        "orders" to commands.map(::encodeCommand),
+    )
+
+    /** A message that is sent without a heartbeat; the worker ignores it under another [incarnation]. */
+    fun encodeDirect(fencingToken: ULong, incarnation: ULong, commands: List<WorkerCommand>): Map<String, Any?> =
+        encode(fencingToken, commands) + mapOf("tenure" to incarnation)
+
+    private fun encodeCommand(command: WorkerCommand): Map<String, Any?> = buildMap {
+        put("verb", verb(command))
+        put("shard", JobCodec.taskName(command.job, command.index))
+        put("try", command.attempt)
+        if (command is WorkerCommand.Halt) put("wind_down_s", command.gracePeriodS)
+    }
+
+    private fun verb(command: WorkerCommand): String = when (command) {
+        is WorkerCommand.Launch -> "launch"
+        is WorkerCommand.Halt -> "halt"
+        is WorkerCommand.Clear -> "clear"
+    }
+}
--- a/src/main/kotlin/flaxfield/workers/MachineFailures.kt
+++ b/src/main/kotlin/flaxfield/workers/MachineFailures.kt
@@ -1,56 +1,61 @@
 package flaxfield.workers
 
-/** What the tasks that failed on a machine make of it. */
+/** What the tasks that failed on a machine tell of it. */
 enum class FaultVerdict {
     NONE,
 
-    /** It may be the machine or the job: nothing more is placed here until the job has been tried elsewhere. */
+    /** Machine or job may be at fault: nothing more is placed here until the job has been tried elsewhere. */
     SUSPECT,
     FAULTY,
 }
 
 /**
- * Pure: whether failures speak against their machine or against their jobs. A job submitted with a mistake fails on
- * every machine, and a faulty machine fails every job: taken at their first failure, all machines that one broken
- * array was on went back at once. Held here are the jobs that failed since a task last completed on the machine.
+ * Immutable, without side effects: whether failures speak against their machine or against their jobs. A job submitted
+ * with a mistake fails on every machine, and a faulty machine fails every job, so a single failure decides nothing.
+ * Holds the jobs that failed since a task last completed on the machine, and when each first did.
  */
-data class MachineFailures(private val sinceNs: Map<String, Long> = emptyMap()) {
-    val none: Boolean get() = sinceNs.isEmpty()
+data class MachineFailures(private val firstFailureNs: Map<String, Long> = emptyMap()) {
+    /** Whether there are no failures to judge. */
+    val none: Boolean get() = firstFailureNs.isEmpty()
 
-    fun failed(job: String, nowNs: Long): MachineFailures =
-        if (job in sinceNs || sinceNs.size >= MAX_KEPT) this else MachineFailures(sinceNs + (job to nowNs))
+    /** Adds a failure of [job]; a job's first failure counts, and only a limited number of jobs is kept. */
+    fun failed(job: String, nowNs: Long): MachineFailures = if (job in firstFailureNs ||
+        firstFailureNs.size >= MAX_JOBS
+    ) {
+        this
+    } else {
+        MachineFailures(firstFailureNs + (job to nowNs))
+    }
 
     /**
-     * [trial] tells of a job that is not over where else it failed, and how long its next try may take; null if the job
-     * is over, and its failure says nothing any more.
+     * Judges the failures on [machineName]. [trialOf] tells, of a job that is not over, where else it failed and how
+     * long its next attempt may take; null if the job is over, and its failure proves nothing any more.
      */
-    fun blame(machineName: String, nowNs: Long, trial: (String) -> RetryTrial?): FaultVerdict {
-        var against = 0
+    fun judge(machineName: String, nowNs: Long, trialOf: (String) -> RetryTrial?): FaultVerdict {
+        var failedOnlyHere = 0
         var undecided = 0
-        for ((job, since) in sinceNs) {
-            val t = trial(job) ?: continue
+        for ((job, sinceNs) in firstFailureNs) {
+            val trial = trialOf(job) ?: continue
             // It failed elsewhere too: it is the job's mistake, whichever machine comes next.
-            if (t.failedMachines.any { it != machineName }) continue
-            against++
-            if (nowNs - since <= t.takesNs) undecided++
+            if (trial.failedMachines.any { it != machineName }) continue
+            failedOnlyHere++
+            if (nowNs - sinceNs <= trial.durationNs) undecided++
         }
         return when {
-            against >= DIFFERENT_JOBS -> FaultVerdict.FAULTY
-            against == 0 -> FaultVerdict.NONE
+            failedOnlyHere >= MIN_FAULTY_JOBS -> FaultVerdict.FAULTY
+            failedOnlyHere == 0 -> FaultVerdict.NONE
             undecided > 0 -> FaultVerdict.SUSPECT
             // It has had the time to fail elsewhere, and did not.
             else -> FaultVerdict.FAULTY
         }
     }
 
-    /**
-     * What is known of a job that failed: its [failedMachines] as committed, and what it may take to fail elsewhere.
-     */
-    data class RetryTrial(val failedMachines: List<String>, val takesNs: Long)
+    /** A failed job's [failedMachines] as committed, and how long its next attempt may take to fail elsewhere. */
+    data class RetryTrial(val failedMachines: List<String>, val durationNs: Long)
 
     private companion object {
-        /** So many jobs that failed nowhere else, and the machine is faulty for sure. */
-        const val DIFFERENT_JOBS = 2
-        const val MAX_KEPT = 8
+        /** With this many jobs that failed nowhere else, the machine is faulty beyond doubt. */
+        const val MIN_FAULTY_JOBS = 2
+        const val MAX_JOBS = 8
     }
 }
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -4,227 +4,186 @@
 import flaxfield.arrays.MachineHealth
 import flaxfield.controller.ControllerContext
 import flaxfield.fleet.MachinePhase
-import flaxfield.jobs.Job
 import flaxfield.jobs.TaskEvent
 import flaxfield.zones.HeartbeatCoverage
 import flaxfield.zones.ZoneCoverage
 import flaxfield.zones.ZoneTimes
-import org.slf4j.LoggerFactory
 
-/** What this process has seen of machines, and how those of its part stand: silent, faulty, deaf, or well. */
+/**
+ * What this process has seen of workers, and the health of the machines in its shard that follows from it. Held in
+ * memory only, by the owner thread. Times are nanoseconds of the monotonic clock.
+ */
 class WorkerHealth(private val context: ControllerContext) {
     private val workerStates = HashMap<String, WorkerState>()
+    private val dropped = DroppedMachines(context.settings.workers.leaseS)
+    private val faults = FaultDetector(context)
+    private var observedTerm: ULong? = null
 
-    /**
-     * Hosts whose keys have been dropped, and when: names are never used again, so late news of them is ignored. Kept
-     * for as long as copies may come, not by a count: after a mass loss hundreds go within seconds.
-     */
-    private val gone = LinkedHashMap<String, Long>()
-    private var termSeen: ULong? = null
-
-    /** Since when we own our part under the present term. */
+    /** Since when this process owns its shard under the present term. */
     var ownerSinceNs = 0L
         private set
 
-    /** When a machine of each zone last reported to us. */
-    private val heardNs = HashMap<String, Long>()
+    /** When a machine of each zone last reported to us as its owner. */
+    private val ownedHeartbeatNs = HashMap<String, Long>()
 
-    /** When a worker of another's part last reported to us, by zone. */
-    private val passedNs = HashMap<String, Long>()
+    /** When a worker of another shard last reported to us, by zone. */
+    private val misroutedHeartbeatNs = HashMap<String, Long>()
 
-    /** A report under our term has come: a sign of life of the machine, and of its zone. */
-    fun alive(workerState: WorkerState, zone: String) {
+    /** A heartbeat under our term has come: a sign of life of the machine and of its [zone]. */
+    fun recordSignOfLife(workerState: WorkerState, zone: String) {
         workerState.lastHeartbeatNs = context.nowNs
-        heardNs[zone] = workerState.lastHeartbeatNs
+        ownedHeartbeatNs[zone] = workerState.lastHeartbeatNs
     }
 
     /**
-     * A worker of another's part has reported here under our term: a sign of life of its zone, if it is newer than what
-     * was seen of it before. The first one may be a late copy.
+     * A worker of another shard has reported here under our term: a sign of life of its zone, if it is newer than what
+     * was seen of it before. The first one does not count, as it may be a late copy.
      */
-    fun passed(heartbeat: Heartbeat, workerState: WorkerState) {
-        val before = workerState.passed
+    fun recordMisrouted(heartbeat: Heartbeat, workerState: WorkerState) {
+        val before = workerState.misroutedHeartbeat
         if (before != null && !heartbeat.newerThan(before.incarnation, before.sequenceNumber)) return
-        workerState.passed = heartbeat
-        if (before != null) passedNs[heartbeat.zone] = context.nowNs
+        workerState.misroutedHeartbeat = heartbeat
+        if (before != null) misroutedHeartbeatNs[heartbeat.zone] = context.nowNs
     }
 
-    /** What this node hears of each zone: of its own part, and of workers that do not reach their owners. */
+    /**
+     * How many machines of each zone report to this controller: those of its own shard, and workers that do not reach
+     * their owners.
+     */
     fun zoneCoverage(): Map<String, ZoneCoverage> {
-        val window = (context.settings.workers.leaseS * ZoneTimes.SILENT_LEASES * NANOS_PER_SECOND).toLong()
-        val since = context.nowNs - window
-        val settled = ownerSinceNs <= since
-        val counts = HashMap<String, Heard>()
-        for (m in context.shards.ownedMachines()) {
-            if (m.phase == MachinePhase.RETIRING || !expected(m.name)) continue
-            val count = counts.getOrPut(m.zone) { Heard() }
-            count.expected++
-            val at = workerStates[m.name]?.lastHeartbeatNs ?: 0L
-            if (at >= ownerSinceNs && at > since) count.heard++
+        val windowNs = (context.settings.workers.leaseS * ZoneTimes.SILENT_LEASES * NANOS_PER_SECOND).toLong()
+        val sinceNs = context.nowNs - windowNs
+        val ownsLongEnough = ownerSinceNs <= sinceNs
+        val own = countReporting(sinceNs).mapValues { (_, count) ->
+            ZoneCoverage(count.expected, HeartbeatCoverage.of(count.expected, count.reporting, ownsLongEnough))
         }
-        val own = counts.mapValues { (_, c) ->
-            ZoneCoverage(c.expected, HeartbeatCoverage.of(c.expected, c.heard, settled))
+        val misrouted = misroutedHeartbeatNs.filterValues { it > sinceNs }.keys.filter {
+            own[it]?.coverage?.isSign != true
         }
-        val passing = passedNs.filterValues { it > since }.keys.filter { own[it]?.coverage?.isSign != true }
-        return own + passing.associateWith { ZoneCoverage(own[it]?.expected ?: 0, HeartbeatCoverage.SOME) }
+        return own + misrouted.associateWith { ZoneCoverage(own[it]?.expected ?: 0, HeartbeatCoverage.SOME) }
     }
 
-    private class Heard(var expected: Int = 0, var heard: Int = 0)
-
-    fun isGone(machineName: String): Boolean = machineName in gone
-
-    /** Notes what a task's end says of its machine. */
-    fun blame(e: TaskEvent, workerState: WorkerState) {
-        if (e is TaskEvent.Completed && !workerState.failures.none) workerState.failures = MachineFailures()
-        if (e !is TaskEvent.Lost || !e.failed) return
-        if (workerState.failures.none) {
-            log.info(
-                "machine={} job={} task={} failed: machine or job, its next try tells",
-                e.machineName,
-                e.job,
-                e.index,
-            )
-        }
-        workerState.failures = workerState.failures.failed(e.job, context.nowNs)
-        context.decisions.request()
-    }
+    private class ReportingCount(var expected: Int = 0, var reporting: Int = 0)
 
-    /** Whether the failures on a machine are its own. */
-    private fun blamed(workerState: WorkerState): FaultVerdict {
-        if (workerState.failures.none) return FaultVerdict.NONE
-        val blame = workerState.failures.blame(workerState.machineName, context.nowNs) { id ->
-            context.view.jobs[id]?.takeIf {
-                !it.cancelled
-            }?.let { MachineFailures.RetryTrial(it.failedMachines, trialNs(it, workerState)) }
-        }
-        if (blame == FaultVerdict.NONE) workerState.failures = MachineFailures()
-        if (blame == FaultVerdict.FAULTY) {
-            workerState.faulty = "tasks fail here and not elsewhere"
-            log.info("machine={} taken as faulty: {}", workerState.machineName, workerState.faulty)
-            context.decisions.request()
+    private fun countReporting(sinceNs: Long): Map<String, ReportingCount> {
+        val counts = HashMap<String, ReportingCount>()
+        for (machine in context.shards.ownedMachines()) {
+            if (machine.phase == MachinePhase.RETIRING || !isExpectedToReport(machine.name)) continue
+            val count = counts.getOrPut(machine.zone) { ReportingCount() }
+            count.expected++
+            val lastNs = workerStates[machine.name]?.lastHeartbeatNs ?: 0L
+            if (lastNs >= ownerSinceNs && lastNs > sinceNs) count.reporting++
         }
-        return blame
+        return counts
     }
 
-    /** How long a job's next try may take to fail as well: its launch, its image, and some more. */
-    private fun trialNs(job: Job, workerState: WorkerState): Long {
-        val rate = context.view.machineTypes[workerState.heartbeat?.machineType]?.fetchGbPerS ?: 1.0
-        return ((context.settings.workers.leaseS + job.spec.imageGb / rate * TRIAL_FETCHES) * NANOS_PER_SECOND).toLong()
-    }
+    /** Whether the machine's record was dropped lately: news of it is late. */
+    fun isGone(machineName: String): Boolean = machineName in dropped
+
+    /** Notes what the end of a task tells of its machine. */
+    fun recordTaskEvent(event: TaskEvent, workerState: WorkerState) = faults.recordTaskEvent(event, workerState)
 
-    /** It gets no new work and is returned; its tasks move on the usual proofs. */
-    fun deaf(workerState: WorkerState) {
-        if (workerState.faulty != null) return
-        val heard = workerStates.values.filter { it.lastHeartbeatNs > ownerSinceNs }
-        if (heard.count { it.reachability.missed > 0 } > maxOf(1.0, heard.size * ResponseReachability.MAX_DEAF)) return
-        workerState.faulty = "reports, and does not hear our answers"
-        log.info("machine={} taken as faulty: {}", workerState.machineName, workerState.faulty)
-        context.decisions.request()
+    /** Takes a machine that our responses do not reach as faulty, unless the fault is more likely ours. */
+    fun markUnreachable(workerState: WorkerState) {
+        if (workerState.faultReason != null) return
+        faults.markUnreachable(workerState, workerStates.values.filter { it.lastHeartbeatNs > ownerSinceNs })
     }
 
-    /** How a machine that we own stands. */
+    /** The health of a machine in this controller's shard, as of now. */
     fun state(machineName: String): MachineHealth {
         val workerState = workerStates[machineName]
         val heartbeat = workerState?.heartbeat
         return when {
-            workerState?.faulty != null -> MachineHealth.FAULTY
+            workerState?.faultReason != null -> MachineHealth.FAULTY
             heartbeat == null || workerState.lastHeartbeatNs == 0L || workerState.lastHeartbeatNs < ownerSinceNs -> {
-                // A machine that just came up has told us of itself, but not yet under our term.
-                val since = maxOf(ownerSinceNs, workerState?.firstNs ?: 0L)
-                if (silent(machineName, since) && expected(machineName)) MachineHealth.SILENT else MachineHealth.UNSEEN
+                // A machine that just booted has reported, but not yet under our term.
+                val sinceNs = maxOf(ownerSinceNs, workerState?.firstHeartbeatNs ?: 0L)
+                val silent = isSilent(machineName, sinceNs) && isExpectedToReport(machineName)
+                if (silent) MachineHealth.SILENT else MachineHealth.UNSEEN
             }
-            silent(machineName, workerState.lastHeartbeatNs) -> MachineHealth.SILENT
+            isSilent(machineName, workerState.lastHeartbeatNs) -> MachineHealth.SILENT
             heartbeat.terminationNoticeS != null -> MachineHealth.NOTICE
-            blamed(workerState) == FaultVerdict.FAULTY -> MachineHealth.FAULTY
-            blamed(workerState) == FaultVerdict.SUSPECT -> MachineHealth.SUSPECT
-            else -> MachineHealth.OK
+            else -> when (faults.judgeFailures(workerState)) {
+                FaultVerdict.FAULTY -> MachineHealth.FAULTY
+                FaultVerdict.SUSPECT -> MachineHealth.SUSPECT
+                FaultVerdict.NONE -> MachineHealth.OK
+            }
         }
     }
 
-    /** It has reported before, to us or to an earlier owner, or carries tasks: its silence means something. */
-    private fun expected(machineName: String): Boolean = workerStates[machineName]?.heartbeat != null ||
+    /** It has reported before, to us or to an earlier owner, or has tasks: only then does its silence mean anything. */
+    private fun isExpectedToReport(machineName: String): Boolean = workerStates[machineName]?.heartbeat != null ||
         !context.view.isEmpty(machineName) ||
         context.view.lastKnownStatus(machineName)?.let { it.incarnation > 0uL } ?: false
 
-    private fun silent(machineName: String, sinceNs: Long): Boolean {
-        val lease = context.settings.workers.leaseS * NANOS_PER_SECOND
-        val quiet = context.nowNs - sinceNs
-        if (quiet < lease * SILENT_SHARE) return false
-        if (context.zones?.isLost(zoneOf(machineName)) == true) return quiet > lease
-        // If nobody of its zone reports, it is rather us who are cut off from there; but the last machines of a part
-        // may be lost together, and their tasks must not wait for ever.
-        val heard =
-            context.nowNs - (heardNs[zoneOf(machineName)] ?: 0L) <
-                context.settings.workers.heartbeatIntervalS * HEARD_HEARTBEATS * NANOS_PER_SECOND
-        return heard || quiet > lease * SILENT_ALONE_SHARE
+    private fun isSilent(machineName: String, sinceNs: Long): Boolean {
+        val leaseNs = context.settings.workers.leaseS * NANOS_PER_SECOND
+        val silenceNs = context.nowNs - sinceNs
+        if (silenceNs < leaseNs * SILENT_SHARE) return false
+        val zone = zoneOf(machineName)
+        if (context.zones?.isLost(zone) == true) return silenceNs > leaseNs
+        // If no machine of its zone reports, it is more likely this controller that is cut off from there. But the
+        // last machines of a shard may be lost together, and their tasks must not wait for ever.
+        val heartbeatIntervalS = context.settings.workers.heartbeatIntervalS
+        val zoneReports = context.nowNs - (ownedHeartbeatNs[zone] ?: 0L) <
+            heartbeatIntervalS * ZONE_REPORTS_HEARTBEATS * NANOS_PER_SECOND
+        return zoneReports || silenceNs > leaseNs * SILENT_ZONE_SHARE
     }
 
     private fun zoneOf(machineName: String): String =
         context.view.machines[machineName]?.zone ?: workerStates[machineName]?.heartbeat?.zone.orEmpty()
 
-    /** What we know of a machine that we have heard of, or null. */
+    /** What is known of a machine that has been heard of, or null. */
     fun known(machineName: String): WorkerState? = workerStates[machineName]
 
     /**
-     * What we know of a machine; at first what its earlier owners' summaries knew. Without that, a takeover
-     * forgot which images machines hold, and gangs waited for fetches that others would have been spared.
+     * What is known of a machine; at first what its earlier owners' shard summaries list. Without that, a failover
+     * would forget which images machines hold, and gangs would wait for pulls that other machines do not need.
      */
-    fun workerState(machineName: String): WorkerState = workerStates.getOrPut(machineName) {
-        WorkerState(machineName).also { b ->
-            context.view.lastKnownStatus(machineName)?.let(b::inherit)
-        }
+    fun workerState(machineName: String): WorkerState = workerStates.getOrPut(machineName) { restoreState(machineName) }
+
+    private fun restoreState(machineName: String): WorkerState {
+        val workerState = WorkerState(machineName)
+        context.view.lastKnownStatus(machineName)?.let(workerState::restoreImages)
+        return workerState
     }
 
     /**
-     * Must run before any decision under a new term: a machine's silence counts from when we became its
-     * owner. Counted from an earlier time, a takeover returned every machine it took over.
+     * Must run before any decision under a new term: a machine's silence counts from when this process became its
+     * owner. Otherwise a failover would return every machine it takes over.
      */
     fun observeTerm() {
         val term = context.leadership.term()
-        if (term == termSeen) return
-        termSeen = term
+        if (term == observedTerm) return
+        observedTerm = term
         ownerSinceNs = context.nowNs
-        for (b in workerStates.values) b.pushedNs = 0
+        for (workerState in workerStates.values) workerState.termPushedNs = 0
     }
 
-    /** We stood still for [gapNs]: reports and answers of that time were lost on our side, not on the workers'. */
+    /** This process was paused for [gapNs]: heartbeats of that time were lost on our side, not on the workers'. */
     fun onProcessPause(gapNs: Long) {
         if (ownerSinceNs != 0L) ownerSinceNs += gapNs
-        for (b in workerStates.values) {
-            if (b.lastHeartbeatNs != 0L) b.lastHeartbeatNs += gapNs
-            b.reachability = ResponseReachability()
+        for (workerState in workerStates.values) {
+            if (workerState.lastHeartbeatNs != 0L) workerState.lastHeartbeatNs += gapNs
+            workerState.reachability = ResponseReachability()
         }
-        heardNs.replaceAll { _, at -> at + gapNs }
+        ownedHeartbeatNs.replaceAll { _, atNs -> atNs + gapNs }
     }
 
-    /** Forgets machines whose keys were dropped. */
+    /** Forgets a machine whose record was dropped. */
     fun forget(machineName: String) {
         workerStates.remove(machineName)
-        gone[machineName] = context.nowNs
-        val before = context.nowNs - (context.settings.workers.leaseS * GONE_LEASES * NANOS_PER_SECOND).toLong()
-        while (gone.isNotEmpty()) {
-            val eldest = gone.entries.first()
-            if (eldest.value >= before) break
-            gone.remove(eldest.key)
-        }
+        dropped.add(machineName, context.nowNs)
     }
 
     private companion object {
-        val log = LoggerFactory.getLogger("flaxfield.workers")
-
         /** A worker silent for this share of its lease is taken as lost: its machine is returned. */
         const val SILENT_SHARE = 0.75
 
-        /** The same where no machine of its zone is heard at all: most cuts between zones are over by then. */
-        const val SILENT_ALONE_SHARE = 3.0
-
-        /** Others of the zone must have been heard within this many report intervals for a silence to count. */
-        const val HEARD_HEARTBEATS = 2.0
-
-        /** Images fetched at once share the rate. */
-        const val TRIAL_FETCHES = 1.5
+        /** The same where no machine of its zone reports at all: most network partitions are over by then. */
+        const val SILENT_ZONE_SHARE = 3.0
 
-        /** Copies of reports come late, at times by well over a lease. */
-        const val GONE_LEASES = 8.0
+        /** Another machine of the zone must have reported within this many intervals for a silence to count. */
+        const val ZONE_REPORTS_HEARTBEATS = 2.0
     }
 }
--- a/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
@@ -3,7 +3,7 @@
 import flaxfield.NANOS_PER_SECOND
 import flaxfield.controller.ControllerContext
 import flaxfield.fleet.MachinePhase
-import flaxfield.jobs.TaskEventCommitter
+import flaxfield.jobs.JobTransactions
 import flaxfield.store.Change
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
@@ -39,7 +39,7 @@
     private fun write(next: ZoneRecord, evidence: ZoneEvidence?) {
         val key = StoreKeys.ZONE + next.zone
         if (context.transactions.isWritePending(key)) return
-        val conditions = TaskEventCommitter.fence(context) + (key to next.version)
+        val conditions = JobTransactions.assignmentFence(context) + (key to next.version)
         val term = context.leadership.term()
         context.transactions.submit(
             WriteCause.FLEET,
--- a/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
@@ -8,6 +8,7 @@
 import flaxfield.fleet.MachinePhase
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobKind
+import flaxfield.jobs.TaskId
 import flaxfield.members.Member
 import flaxfield.members.ShardAssignment
 import kotlinx.collections.immutable.persistentHashMapOf
--- a/src/test/kotlin/flaxfield/drain/RecordCheckerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/RecordCheckerTest.kt
@@ -6,6 +6,7 @@
 import flaxfield.fleet.FleetCodec
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobCodec
+import flaxfield.jobs.TaskId
 import flaxfield.settings.StateLimits
 import flaxfield.sim.SimLoop
 import flaxfield.sim.SimState
