--- a/src/main/kotlin/flaxfield/membership/MembershipManager.kt
+++ b/src/main/kotlin/flaxfield/membership/MembershipManager.kt
@@ -4,137 +4,146 @@
 import flaxfield.NANOS_PER_MILLI
 import flaxfield.controller.ControllerContext
 import flaxfield.store.Change
+import flaxfield.store.LeaseGrantResult
+import flaxfield.store.LeaseRenewalResult
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
 import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
-/** Keeps this process's lease and carries out [MemberRules]. */
+/** Keeps this process's lease in the store and carries out [MemberRules]. Owned by the owner thread. */
 class MembershipManager(private val context: ControllerContext) {
+    private val ttlMs = (context.settings.workers.leaseS * TTL_LEASE_SHARE * MILLIS_PER_SECOND).toLong()
     private var lease: ULong? = null
-    private var asking = false
-    private var nextRenewNs = 0L
-    private var stepOpen = false
+    private var isLeaseRequestOpen = false
+    private var nextRenewalNs = 0L
+    private var isStepOpen = false
     private var nextStepNs = 0L
 
-    private val ttlMs = (context.settings.workers.leaseS * TTL_SHARE * MILLIS_PER_SECOND).toLong()
-
     /** This process is about to end: it asks for no lease any more. */
-    private var leaving = false
+    private var isLeaving = false
 
     /**
-     * Ends the lease and with it membership and leadership; [done] once the state service has answered, or at once
-     * without one.
+     * Ends the lease and with it membership and leadership; [done] once the store has answered, or at once without a
+     * lease.
      */
     fun leave(done: () -> Unit) {
-        leaving = true
+        isLeaving = true
         context.leadership.leaseUntilNs = 0
         val held = lease ?: return done()
         lease = null
-        log.info("lease={} given back", held)
-        context.store.release(held) { context.post(done) }
+        log.info("event=lease_revoked lease={}", held)
+        context.store.revokeLease(held) { context.post(done) }
     }
 
+    /** Renews the lease and takes the next step of membership where that is due. */
     fun tick() {
-        if (leaving) return
-        val now = context.nowNs
-        if (!asking && now >= nextRenewNs) renew(now)
-        if (lease != null && context.leadership.leaseValid() && !stepOpen && now >= nextStepNs) step(now)
+        if (isLeaving) return
+        val nowNs = context.nowNs
+        if (!isLeaseRequestOpen && nowNs >= nextRenewalNs) requestLease(nowNs)
+        if (lease != null && context.leadership.leaseValid() && !isStepOpen && nowNs >= nextStepNs) step(nowNs)
     }
 
-    private fun renew(now: Long) {
-        if (!context.transactions.budget.take(WriteCause.LEASE, 0, now)) return
-        asking = true
-        nextRenewNs = now + (ttlMs * RENEW_SHARE * NANOS_PER_MILLI).toLong()
+    private fun requestLease(nowNs: Long) {
+        if (!context.transactions.budget.take(WriteCause.LEASE, 0, nowNs)) return
+        isLeaseRequestOpen = true
+        nextRenewalNs = nowNs + ttlShareNs(RENEWAL_SHARE)
         val held = lease
         if (held == null) {
-            context.store.lease(ttlMs) { got -> context.post { granted(now, got) } }
+            context.store.grantLease(ttlMs) { result -> context.post { onGranted(nowNs, result) } }
         } else {
-            context.store.extend(held) { status -> context.post { extended(now, status) } }
+            context.store.renewLease(held) { result -> context.post { onRenewed(nowNs, result) } }
         }
     }
 
-    private fun granted(sentNs: Long, got: ULong?) {
-        asking = false
-        if (leaving) return
-        if (got == null) {
-            retrySoon()
-            return
+    private fun onGranted(sentNs: Long, result: LeaseGrantResult) {
+        isLeaseRequestOpen = false
+        if (isLeaving) return
+        when (result) {
+            is LeaseGrantResult.Granted -> {
+                lease = result.lease
+                extendValidity(sentNs)
+                log.info("event=lease_granted lease={} ttl_ms={}", result.lease, ttlMs)
+            }
+            is LeaseGrantResult.Failed -> retrySoon()
         }
-        lease = got
-        valid(sentNs)
-        log.info("lease={} ttl_ms={} granted", got, ttlMs)
     }
 
-    private fun extended(sentNs: Long, status: Int) {
-        asking = false
-        if (leaving) return
-        when (status) {
-            OK -> valid(sentNs)
-            NOT_FOUND -> {
-                log.info("lease={} has ended", lease)
+    private fun onRenewed(sentNs: Long, result: LeaseRenewalResult) {
+        isLeaseRequestOpen = false
+        if (isLeaving) return
+        when (result) {
+            LeaseRenewalResult.RENEWED -> extendValidity(sentNs)
+            LeaseRenewalResult.EXPIRED -> {
+                log.info("event=lease_expired lease={}", lease)
                 lease = null
                 context.leadership.leaseUntilNs = 0
-                nextRenewNs = 0
+                nextRenewalNs = 0
             }
-            else -> retrySoon()
+            LeaseRenewalResult.FAILED -> retrySoon()
         }
     }
 
-    /** Counted from when we asked, and shortened by what steady clocks may drift apart. */
-    private fun valid(sentNs: Long) {
+    /** The lease is valid from when the request was sent, for its time less what the two clocks may drift apart. */
+    private fun extendValidity(sentNs: Long) {
         context.storeContact.noteResponse()
-        context.leadership.leaseUntilNs = sentNs + (ttlMs * NANOS_PER_MILLI * (1 - DRIFT)).toLong()
+        context.leadership.leaseUntilNs = sentNs + (ttlMs * NANOS_PER_MILLI * (1 - MAX_CLOCK_DRIFT)).toLong()
         context.decisions.request()
     }
 
     private fun retrySoon() {
-        nextRenewNs = context.nowNs + (ttlMs * RETRY_SHARE * NANOS_PER_MILLI).toLong()
+        nextRenewalNs = context.nowNs + ttlShareNs(RETRY_SHARE)
     }
 
-    private fun step(now: Long) {
-        val w = context.view
+    private fun step(nowNs: Long) {
         val held = lease ?: return
-        val step = MemberRules.next(context.self, w.members.values, w.leader, w.assignment) ?: return
-        val (key, change) = when (step) {
-            is MemberStep.Join -> {
-                val key = StoreKeys.MEMBER + context.self.name
-                key to Change.Put(key, MemberCodec.encode(context.self), held)
-            }
-            is MemberStep.Lead ->
-                StoreKeys.LEADER to
-                    Change.Put(StoreKeys.LEADER, MemberCodec.encode(context.self), held)
-            is MemberStep.Assign ->
-                StoreKeys.ASSIGNMENT to
-                    Change.Put(StoreKeys.ASSIGNMENT, MemberCodec.encode(context.self, step.members))
+        val view = context.view
+        val step = MemberRules.next(context.self, view.members.values, view.leader, view.assignment) ?: return
+        val change = changeOf(step, held)
+        if (context.transactions.isWritePending(change.key)) return
+        val transaction = Transaction(conditionsOf(step, change.key), listOf(change))
+        isStepOpen = context.transactions.submit(WriteCause.LEASE, transaction) { outcome ->
+            isStepOpen = false
+            nextStepNs = context.nowNs + ttlShareNs(RETRY_SHARE) / STEPS_PER_RETRY
+            log.info("event=member_step step={} outcome={}", step, outcome)
         }
-        if (context.transactions.isWritePending(key)) return
+        if (!isStepOpen) nextStepNs = nowNs + ttlShareNs(RETRY_SHARE)
+    }
+
+    /** Member and leader keys go with the lease; the assignment stays for whoever leads next. */
+    private fun changeOf(step: MemberStep, lease: ULong): Change = when (step) {
+        is MemberStep.Join ->
+            Change.Put(StoreKeys.MEMBER + context.self.name, MemberCodec.encode(context.self), lease)
+        is MemberStep.Lead -> Change.Put(StoreKeys.LEADER, MemberCodec.encode(context.self), lease)
+        is MemberStep.Assign -> Change.Put(StoreKeys.ASSIGNMENT, MemberCodec.encode(context.self, step.members))
+    }
+
+    private fun conditionsOf(step: MemberStep, key: String): Map<String, ULong> {
         val conditions = HashMap<String, ULong>()
-        conditions[key] = w.version(key)
+        conditions[key] = context.view.version(key)
         // An assignment stands only while its writer leads: the leader's key is part of the condition.
-        if (step is MemberStep.Assign) conditions[StoreKeys.LEADER] = w.version(StoreKeys.LEADER)
-        stepOpen = context.transactions.submit(WriteCause.LEASE, Transaction(conditions, listOf(change))) { outcome ->
-            stepOpen = false
-            nextStepNs = context.nowNs + (ttlMs * RETRY_SHARE * NANOS_PER_MILLI).toLong() / STEP_PACE
-            log.info("member step={} outcome={}", step, outcome)
-        }
-        if (!stepOpen) nextStepNs = now + (ttlMs * RETRY_SHARE * NANOS_PER_MILLI).toLong()
+        if (step is MemberStep.Assign) conditions[StoreKeys.LEADER] = context.view.version(StoreKeys.LEADER)
+        return conditions
     }
 
+    private fun ttlShareNs(share: Double): Long = (ttlMs * share * NANOS_PER_MILLI).toLong()
+
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.membership")
 
-        /** A member is given up after this share of a worker's lease: two takeovers fit into one lease. */
-        const val TTL_SHARE = 0.3
+        /** A member is given up after this share of a worker's lease: two failovers fit into one lease. */
+        const val TTL_LEASE_SHARE = 0.3
 
         /** Two renewals may be lost before a lease ends. */
-        const val RENEW_SHARE = 0.28
+        const val RENEWAL_SHARE = 0.28
+
+        /** A failed request or a refused step waits this share of the lease's time. */
         const val RETRY_SHARE = 0.08
-        const val STEP_PACE = 5
+
+        /** Steps that follow each other wait this part of the time between retries. */
+        const val STEPS_PER_RETRY = 5
 
         /** PROTOCOL-flaxfield.md: steady clocks drift apart by up to 0.05%; doubled for the service's side. */
-        const val DRIFT = 0.001
-        const val OK = 200
-        const val NOT_FOUND = 404
+        const val MAX_CLOCK_DRIFT = 0.001
     }
 }
--- a/tools/start-cost.sh
+++ b/tools/start-cost.sh
@@ -51,7 +51,7 @@
     pid=$!
     await "$pid" "$log" 'serves on'
     listening=$(processor_ms "$pid")
-    await "$pid" "$log" 'view read'
+    await "$pid" "$log" 'event=view_listed'
     viewed=$(processor_ms "$pid")
     sleep 2
     settled=$(processor_ms "$pid")
