--- a/src/main/kotlin/flaxfield/controller/BacklogDeferral.kt
+++ b/src/main/kotlin/flaxfield/controller/BacklogDeferral.kt
@@ -1,22 +1,22 @@
 package flaxfield.controller
 
 /**
- * Puts a duty off while more urgent work waits, for at most [mostNs]. After a restart hundreds of reports waited while
- * the new leader planned for two seconds, and the leases that they would have renewed ran out.
+ * Defers a duty while many heartbeats wait, for at most [maxDelayNs] from when it was first due: the heartbeats renew
+ * workers' leases, which a long round of planning would let run out. Owned by the owner thread.
  */
-class BacklogDeferral(private val mostNs: Long) {
+class BacklogDeferral(private val maxDelayNs: Long) {
     private var dueSinceNs: Long? = null
 
-    /** Whether the duty, which is due, may run at [nowNs] though [waiting] reports wait. */
-    fun mayRun(nowNs: Long, waiting: Int): Boolean {
-        val since = dueSinceNs ?: nowNs.also { dueSinceNs = it }
-        if (waiting >= MANY_WAITING && nowNs - since < mostNs) return false
+    /** Whether the duty, which is due, may run at [nowNs] though [heartbeatsWaiting] heartbeats wait. */
+    fun mayRun(nowNs: Long, heartbeatsWaiting: Int): Boolean {
+        val dueSince = dueSinceNs ?: nowNs.also { dueSinceNs = it }
+        if (heartbeatsWaiting >= MANY_WAITING && nowNs - dueSince < maxDelayNs) return false
         dueSinceNs = null
         return true
     }
 
     companion object {
-        /** Fewer than this are read before a lease notices. */
+        /** Fewer than this are read in a time that makes no difference to a lease. */
         const val MANY_WAITING = 8
     }
 }
--- a/src/main/kotlin/flaxfield/controller/CommandQueue.kt
+++ b/src/main/kotlin/flaxfield/controller/CommandQueue.kt
@@ -1,57 +1,62 @@
 package flaxfield.controller
 
 /**
- * The owner thread's queue. Its own follow-ups come first, then workers and peers, then users: while a thousand
- * workers come back at once, polls must not cost leases. Each kind has its bounded part of the [most] places.
+ * The owner thread's queue, of [capacity] places for messages from outside. The process's own follow-ups come first,
+ * then workers and peers, then users: while all workers come back at once, users' polls must not cost leases. Safe from
+ * any thread; a refused command has not been queued.
  */
-class CommandQueue(private val most: Int) {
-    private val own = ArrayDeque<Command>()
+class CommandQueue(private val capacity: Int) {
+    private val followUps = ArrayDeque<Command>()
     private val workers = ArrayDeque<Command>()
     private val users = ArrayDeque<Command>()
     private val lock = Object()
 
-    /** Takes one of our own follow-ups: bounded by what we have open. */
-    fun follow(c: Command.Run) = put(own, c, Int.MAX_VALUE)
+    /** Takes one of the process's own follow-ups: they are bounded by the requests it has open. */
+    fun addFollowUp(command: Command) = add(followUps, command, Int.MAX_VALUE)
 
     /** Takes a message from outside; false if it is to be refused. */
-    fun offer(c: Command): Boolean {
-        val user = c is Command.Http && c.request.path.startsWith(USERS_PATH)
-        return if (user) put(users, c, (most * USERS_SHARE).toInt()) else put(workers, c, most)
+    fun offer(command: Command): Boolean {
+        val isOfUser = command is Command.Http && command.request.path.startsWith(ApiPath.JOBS)
+        return if (isOfUser) add(users, command, (capacity * USERS_SHARE).toInt()) else add(workers, command, capacity)
     }
 
-    private fun put(queue: ArrayDeque<Command>, c: Command, limit: Int): Boolean = synchronized(lock) {
+    private fun add(queue: ArrayDeque<Command>, command: Command, limit: Int): Boolean = synchronized(lock) {
         if (queue.size >= limit) return false
-        queue.addLast(c)
+        queue.addLast(command)
         lock.notify()
         true
     }
 
-    val size: Int get() = synchronized(lock) { own.size + workers.size + users.size }
+    /** How many commands wait. */
+    val size: Int get() = synchronized(lock) { followUps.size + workers.size + users.size }
 
     /** Messages of workers and peers that wait. */
     val workersWaiting: Int get() = synchronized(lock) { workers.size }
 
-    /** Waits up to [ms] for a command; false if there is none. */
-    fun await(ms: Long): Boolean = synchronized(lock) {
-        if (size == 0) lock.wait(ms)
+    /** Waits up to [timeoutMs] for a command; false if there is none. */
+    fun await(timeoutMs: Long): Boolean = synchronized(lock) {
+        if (size == 0) lock.wait(timeoutMs)
         size > 0
     }
 
-    /** Moves up to [n] commands into [batch]; users get at least a small part of it. */
-    fun take(batch: MutableList<Command>, n: Int) = synchronized(lock) {
-        val forUsers = minOf(users.size, (n * MIN_USERS).toInt())
-        move(own, batch, n)
-        move(workers, batch, n - forUsers)
-        move(users, batch, maxOf(n, batch.size + forUsers))
+    /** Moves up to [max] commands into [batch], which is empty; users get at least a small share of it. */
+    fun take(batch: MutableList<Command>, max: Int) = synchronized(lock) {
+        val reservedForUsers = minOf(users.size, (max * MIN_USERS_SHARE).toInt())
+        move(followUps, batch, max)
+        move(workers, batch, max - reservedForUsers)
+        move(users, batch, maxOf(max, batch.size + reservedForUsers))
     }
 
+    /** Moves commands until [batch] holds [until]. */
     private fun move(from: ArrayDeque<Command>, batch: MutableList<Command>, until: Int) {
         while (batch.size < until) batch += from.removeFirstOrNull() ?: return
     }
 
     private companion object {
-        const val USERS_PATH = "/work"
+        /** Users may fill this share of the places. */
         const val USERS_SHARE = 0.5
-        const val MIN_USERS = 0.2
+
+        /** The share of a batch that is users' while they wait. */
+        const val MIN_USERS_SHARE = 0.2
     }
 }
--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -85,7 +85,7 @@
         val startNs = System.nanoTime()
         requests.route(request)
         val elapsedNs = System.nanoTime() - startNs
-        metrics.handled(requestKind(request.path), elapsedNs)
+        metrics.handled(RequestKind.of(request.path), elapsedNs)
         context.stats.addDutyTime(if (request.path == ApiPath.HEARTBEAT) "reports" else "users", elapsedNs)
         transports.flushLate()
     }
--- a/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
@@ -4,6 +4,7 @@
 import flaxfield.net.ConnectionQuotas
 import flaxfield.net.HttpClient
 import flaxfield.net.HttpServer
+import flaxfield.net.HttpStatus
 import flaxfield.net.OutboundQueue
 import flaxfield.net.Request
 import flaxfield.peers.PeerClient
@@ -19,100 +20,111 @@
 /** One controller process: the network, the queue and the owner thread around a [Controller]. */
 class ControllerProcess(
     private val settings: Settings,
-    private val operator: OperatorSettings,
+    operator: OperatorSettings,
     private val incarnation: String,
     subsystem: SubsystemFactory? = null,
 ) {
-    private val intake = CommandQueue(operator.queueCommands)
-    private val shares = ConnectionQuotas.of(settings.maxSockets)
-    private val loop = NioEventLoopGroup(1)
-    private val out = OutboundQueue(loop.next() as EventLoop)
-    private val controller = Controller(
-        settings,
-        operator,
-        incarnation,
-        Clock.System,
-        ControllerTransports(
-            state = HttpClient(loop, out, settings.state, STORE_CONNECTIONS, STORE_WAITING),
-            watch = HttpClient(loop, out, settings.state, 1, 1),
-            cloud = HttpClient(loop, out, settings.cloud, 2),
-            worker = { HttpClient(loop, out, it, 1, keep = false) },
-            peer = { address, onMessage -> PeerClient(loop, out, address, onMessage) },
-            flushLate = out::flushLate,
-        ),
-        shares.direct,
-        subsystem,
-    ) { block -> intake.follow(Command.Run(block)) }
+    private val commands = CommandQueue(operator.queueCommands)
+    private val quotas = ConnectionQuotas.of(settings.maxSockets)
+    private val eventLoops = NioEventLoopGroup(1)
+    private val outbound = OutboundQueue(eventLoops.next() as EventLoop)
+    private val controller =
+        Controller(settings, operator, incarnation, Clock.System, transports(), quotas.direct, subsystem, ::post)
 
     @Volatile
-    private var stopping = false
+    private var isStopping = false
+
+    private fun transports() = ControllerTransports(
+        state = HttpClient(eventLoops, outbound, settings.state, STORE_CONNECTIONS, STORE_WAITING),
+        watch = HttpClient(eventLoops, outbound, settings.state, 1, 1),
+        cloud = HttpClient(eventLoops, outbound, settings.cloud, CLOUD_CONNECTIONS),
+        worker = { HttpClient(eventLoops, outbound, it, 1, keep = false) },
+        peer = { address, onMessage -> PeerClient(eventLoops, outbound, address, onMessage) },
+        flushLate = outbound::flushLate,
+    )
 
     /** Hands [block] to the owner thread; safe from any thread. */
     fun post(block: () -> Unit) {
-        intake.follow(Command.Run(block))
+        commands.addFollowUp(Command.Run(block))
     }
 
     /**
-     * Takes no new requests, gives this process's part away, and returns once what was queued has been answered, after
-     * [withinMs] at the latest. Called from another thread while the owner thread goes on.
+     * Takes no new requests, ends this process's membership, and returns once what was queued has been answered. Each
+     * of the two waits for [timeoutMs] at most. Called from another thread while the owner thread goes on.
      */
-    fun stop(withinMs: Long) {
-        stopping = true
-        val left = CountDownLatch(1)
-        post { controller.leave(left::countDown) }
-        left.await(withinMs, TimeUnit.MILLISECONDS)
-        val answered = CountDownLatch(1)
-        post { answered.countDown() }
-        answered.await(withinMs, TimeUnit.MILLISECONDS)
+    fun stop(timeoutMs: Long) {
+        isStopping = true
+        awaitOwner(timeoutMs) { done -> controller.leave(done) }
+        awaitOwner(timeoutMs) { done -> done() }
         // The answers of the last batch are flushed after it.
         Thread.sleep(LINGER_MS * 2)
     }
 
+    /** Runs [block] on the owner thread and waits until it calls its argument. */
+    private fun awaitOwner(timeoutMs: Long, block: (() -> Unit) -> Unit) {
+        val done = CountDownLatch(1)
+        post { block(done::countDown) }
+        done.await(timeoutMs, TimeUnit.MILLISECONDS)
+    }
+
     /** Binds both addresses, then runs as the owner thread until the process ends. */
     fun serve(): Nothing {
-        HttpServer(
-            loop,
-            out,
-            shares,
-            settings.workers.leaseS,
-            ::offer,
-        ).bind(settings.serveOn.host, settings.serveOn.port)
-        // Peers' messages are hints: when the owner is behind they are dropped.
-        PeerServer(loop) { m, answer -> intake.offer(Command.Peer(m, answer)) }
-            .bind(settings.internalAddr.host, settings.internalAddr.port)
-        log.info("node={} run={} serves on {}", settings.nodeName, incarnation, settings.serveOn)
+        bind()
+        log.info(
+            "event=process_started controller={} incarnation={} address={}",
+            settings.nodeName,
+            incarnation,
+            settings.serveOn,
+        )
         controller.start()
-        out.flush()
+        outbound.flush()
         val batch = ArrayList<Command>(BATCH)
-        while (true) {
-            if (intake.await(Controller.TICK_MS)) {
-                // What comes in the next moments is taken along: fewer wakings of either thread.
-                if (intake.size < BATCH) Thread.sleep(LINGER_MS)
-                intake.take(batch, BATCH)
-            }
-            for (c in batch) controller.handle(c)
-            batch.clear()
-            controller.turn(intake.workersWaiting)
-            out.flush()
+        while (true) runBatch(batch)
+    }
+
+    private fun bind() {
+        HttpServer(eventLoops, outbound, quotas, settings.workers.leaseS, ::offer)
+            .bind(settings.serveOn.host, settings.serveOn.port)
+        // Peers' messages are hints: when the owner is behind they are dropped.
+        PeerServer(eventLoops) { message, answer -> commands.offer(Command.Peer(message, answer)) }
+            .bind(settings.internalAddr.host, settings.internalAddr.port)
+    }
+
+    private fun runBatch(batch: MutableList<Command>) {
+        if (commands.await(Controller.TICK_MS)) {
+            // What comes in the next moments is taken along: fewer wakings of either thread.
+            if (commands.size < BATCH) Thread.sleep(LINGER_MS)
+            commands.take(batch, BATCH)
         }
+        for (command in batch) controller.handle(command)
+        batch.clear()
+        controller.turn(commands.workersWaiting)
+        outbound.flush()
     }
 
-    /** The first stage: on the network thread, refuses at once when the owner is behind. */
+    /** Called on the network thread: queues a request, or refuses it at once when the owner is behind. */
     private fun offer(request: Request) {
-        val taken = !stopping && (request.path != REPORTS_PATH || controller.acceptsHeartbeats())
-        if (taken && intake.offer(Command.Http(request))) return
+        val isAccepted = !isStopping && (request.path != ApiPath.HEARTBEAT || controller.acceptsHeartbeats())
+        if (isAccepted && commands.offer(Command.Http(request))) return
         controller.refused()
-        request.responder.send(503, Body.EMPTY, 1)
+        request.responder.send(HttpStatus.SERVICE_UNAVAILABLE, Body.EMPTY, RETRY_AFTER_S)
     }
 
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.controller")
+
+        /** Commands that are carried out between two turns. */
         const val BATCH = 128
-        const val REPORTS_PATH = "/hello"
 
-        /** A small part of the shortest time that anyone waits for us, a user's poll or the view's next news. */
+        /** A small part of the shortest time that anyone waits for an answer: a user's poll or the view's next change. */
         const val LINGER_MS = 8L
         const val STORE_CONNECTIONS = 6
+
+        /** Requests that may wait for one of the connections to the store. */
         const val STORE_WAITING = 64
+        const val CLOUD_CONNECTIONS = 2
+
+        /** When a refused sender may try again. */
+        const val RETRY_AFTER_S = 1
     }
 }
--- a/src/main/kotlin/flaxfield/controller/Metrics.kt
+++ b/src/main/kotlin/flaxfield/controller/Metrics.kt
@@ -10,23 +10,10 @@
 import java.util.concurrent.TimeUnit
 import java.util.concurrent.atomic.AtomicLong
 
-/** What a request asks for, as the metrics tell requests apart: by path, without the ids in it. */
-enum class RequestKind { HELLO, WORK, STATUS, CANCEL, READY, METRICS, OTHER }
-
-/** The kind of a request to [path]. */
-fun requestKind(path: String): RequestKind = when {
-    path == "/hello" -> RequestKind.HELLO
-    path == "/work" -> RequestKind.WORK
-    path == "/ready" -> RequestKind.READY
-    path == "/metrics" -> RequestKind.METRICS
-    path.endsWith("/cancel") -> RequestKind.CANCEL
-    path.startsWith("/work/") -> RequestKind.STATUS
-    else -> RequestKind.OTHER
-}
-
 /**
- * Counts and times of one process, as `GET /metrics` shows them: one line a figure. Requests are counted in plain
- * numbers; the registry that names them is made when it is first asked for, since a start has no time for it.
+ * Counts and times of requests, as `GET /metrics` shows them: one line a figure. Requests are counted in plain fields;
+ * the registry that names them is made when it is first asked for, since a start has no time for it. Owned by the owner
+ * thread, but for [refused].
  */
 class Metrics {
     private class RequestTimes {
@@ -35,53 +22,54 @@
         var maxNs = 0L
     }
 
-    private val times = RequestKind.entries.associateWith { RequestTimes() }
+    private val timesByKind = RequestKind.entries.associateWith { RequestTimes() }
     private val refusals = AtomicLong()
-    private val registry: MeterRegistry by lazy(LazyThreadSafetyMode.NONE, ::namedMeters)
+    private val registry: MeterRegistry by lazy(LazyThreadSafetyMode.NONE, ::makeRegistry)
 
     /** Counts one request that was refused at once; safe from any thread. */
     fun refused() {
         refusals.incrementAndGet()
     }
 
-    /** Counts one request that took [ns] of the owner thread. */
-    fun handled(kind: RequestKind, ns: Long) {
-        val spent = times.getValue(kind)
-        spent.count++
-        spent.totalNs += ns
-        if (ns > spent.maxNs) spent.maxNs = ns
+    /** Counts one request that took [elapsedNs] of the owner thread. */
+    fun handled(kind: RequestKind, elapsedNs: Long) {
+        val times = timesByKind.getValue(kind)
+        times.count++
+        times.totalNs += elapsedNs
+        if (elapsedNs > times.maxNs) times.maxNs = elapsedNs
     }
 
-    /** All figures of kinds that have been asked for. */
+    /** All figures, one line each. */
     fun text(): String = buildString {
         for (meter in registry.meters) {
             val tags = meter.id.tags.joinToString(",") { "${it.key}=\"${it.value}\"" }
-            for (measured in meter.measure()) append(line(meter.id, measured.statistic, tags, measured.value))
+            for (measurement in meter.measure()) {
+                append(line(meter.id, measurement.statistic, tags, measurement.value))
+            }
         }
     }
 
-    private fun namedMeters(): MeterRegistry {
-        val named = SimpleMeterRegistry()
-        FunctionCounter.builder("flaxfield.refused", refusals) { it.get().toDouble() }.register(named)
-        for ((kind, spent) in times) nameTimes(named, kind.name.lowercase(), spent)
-        return named
+    private fun makeRegistry(): MeterRegistry {
+        val registry = SimpleMeterRegistry()
+        FunctionCounter.builder("flaxfield.refused", refusals) { it.get().toDouble() }.register(registry)
+        for ((kind, times) in timesByKind) registerTimes(registry, kind.name.lowercase(), times)
+        return registry
     }
 
-    private fun nameTimes(named: MeterRegistry, path: String, spent: RequestTimes) {
-        FunctionTimer.builder("flaxfield.requests", spent, {
-            it.count
-        }, { it.totalNs.toDouble() }, TimeUnit.NANOSECONDS)
+    private fun registerTimes(registry: MeterRegistry, path: String, times: RequestTimes) {
+        FunctionTimer
+            .builder("flaxfield.requests", times, { it.count }, { it.totalNs.toDouble() }, TimeUnit.NANOSECONDS)
             .tag("path", path)
-            .register(named)
-        TimeGauge.builder("flaxfield.requests.max", spent, TimeUnit.NANOSECONDS) { it.maxNs.toDouble() }
+            .register(registry)
+        TimeGauge.builder("flaxfield.requests.max", times, TimeUnit.NANOSECONDS) { it.maxNs.toDouble() }
             .tag("path", path)
-            .register(named)
+            .register(registry)
     }
 
     private fun line(id: Meter.Id, statistic: Statistic, tags: String, value: Double): String {
         // The statistic of a gauge says nothing that its name does not.
-        val name =
-            id.name.replace('.', '_') + if (statistic == Statistic.VALUE) "" else "_" + statistic.tagValueRepresentation
+        val suffix = if (statistic == Statistic.VALUE) "" else "_" + statistic.tagValueRepresentation
+        val name = id.name.replace('.', '_') + suffix
         return if (tags.isEmpty()) "$name $value\n" else "$name{$tags} $value\n"
     }
 }
--- a/src/main/kotlin/flaxfield/controller/Subsystem.kt
+++ b/src/main/kotlin/flaxfield/controller/Subsystem.kt
@@ -2,6 +2,7 @@
 
 import flaxfield.fleet.CapacityDemand
 import flaxfield.store.Change
+import flaxfield.workers.WorkerHealth
 
 /**
  * What the operators' fleet file switches on, as the scheduler sees it. Its one implementation is loaded only with such
@@ -14,10 +15,10 @@
     /** The view has reached a new revision and is complete. */
     fun onViewAdvanced()
 
-    /** Work for which room is to be rented ahead. */
+    /** Work for which capacity is to be rented ahead. */
     fun demands(): List<CapacityDemand>
 
-    /** The change that tells of a loss of tasks, to be part of each transaction that commits one. */
+    /** The change that records a loss of tasks, to be part of each transaction that commits one. */
     fun lossMark(): Change
 }
 
@@ -27,4 +28,4 @@
 }
 
 /** The parts of a controller that a subsystem works with. */
-class SubsystemParts(val context: ControllerContext, val health: flaxfield.workers.WorkerHealth)
+class SubsystemParts(val context: ControllerContext, val health: WorkerHealth)
--- a/tools/start-cost.sh
+++ b/tools/start-cost.sh
@@ -49,7 +49,7 @@
     rm -f "$log"
     "$program" "-Xlog:class+load:file=$classes" "${arguments[@]}" "$work/settings.json" 2> "$log" > /dev/null &
     pid=$!
-    await "$pid" "$log" 'serves on'
+    await "$pid" "$log" 'event=process_started'
     listening=$(processor_ms "$pid")
     await "$pid" "$log" 'event=view_listed'
     viewed=$(processor_ms "$pid")
