--- a/src/main/kotlin/flaxfield/jobs/FinishedJobLookup.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobLookup.kt
@@ -6,58 +6,71 @@
 import flaxfield.store.StoreKeys
 import flaxfield.store.WriteCause
 
-/** What the store says of a job that is not in the view. */
+/** What the store holds of a job that is not in the view. */
 sealed interface FinishedJobResult {
     data class Known(val job: FinishedJob) : FinishedJobResult
 
     /** Never accepted. */
     data object Absent : FinishedJobResult
 
-    /** Not found out: too many ask, or the store does not answer. */
+    /** Not found out: too many requests, or the store does not respond. */
     data object Unclear : FinishedJobResult
 }
 
 /**
- * Looks for jobs among those that are over. One comparison asks for many ids at once, and only those that it finds are
- * read: asked one by one, polls for ids that nobody submitted used up the node's requests.
+ * Looks for jobs among the finished ones in the store. One compare asks for many ids at once, and only those that exist
+ * are read: read one by one, polls for ids that nobody submitted would use up this process's requests.
+ *
+ * @param onFound called with each job that is read
  */
-class FinishedJobLookup(private val context: ControllerContext, private val found: (FinishedJob) -> Unit) {
-    private class Ask(val sinceNs: Long, val done: (FinishedJobResult) -> Unit)
+class FinishedJobLookup(private val context: ControllerContext, private val onFound: (FinishedJob) -> Unit) {
+    private class Query(val sinceNs: Long, val done: (FinishedJobResult) -> Unit)
 
-    private val waiting = LinkedHashMap<String, ArrayList<Ask>>()
-    private var asks = 0
-    private var comparing = false
-    private var reading = 0
-    private var nextNs = 0L
+    /** Open queries by job id, in the order of each id's first. */
+    private val queriesById = LinkedHashMap<String, ArrayList<Query>>()
+    private var queryCount = 0
+    private var isComparing = false
+    private var readsInFlight = 0
+    private var nextCompareNs = 0L
 
-    /** [done] is called once. */
+    /** Looks for the job with this [id]; [done] is called once, possibly at once. */
     fun ask(id: String, done: (FinishedJobResult) -> Unit) {
-        if (asks >= MAX_ASKS) return done(FinishedJobResult.Unclear)
-        asks++
-        waiting.getOrPut(id) { ArrayList() } += Ask(context.nowNs, done)
+        if (queryCount >= MAX_QUERIES) return done(FinishedJobResult.Unclear)
+        queryCount++
+        queriesById.getOrPut(id) { ArrayList() } += Query(context.nowNs, done)
         run()
     }
 
-    /** Sends what may be sent now, and gives up on what has waited too long. */
+    /** Sends what may be sent now, and gives up on queries that took too long. */
     fun run() {
-        if (waiting.isEmpty()) return
-        val before = context.nowNs - WAIT_MS * NANOS_PER_MILLI
-        for (id in waiting.filterValues { it.first().sinceNs < before }.keys) finish(id, FinishedJobResult.Unclear)
-        if (comparing || waiting.isEmpty() || context.nowNs < nextNs) return
+        if (queriesById.isEmpty()) return
+        expire()
+        if (isComparing || queriesById.isEmpty() || context.nowNs < nextCompareNs) return
         if (!context.transactions.budget.take(WriteCause.READ, 0, context.nowNs)) return
-        comparing = true
-        nextNs = context.nowNs + GAP_MS * NANOS_PER_MILLI
-        val ids = waiting.keys.take(context.settings.stateLimits.txnOps * CONDITIONS)
-        val sent = ids.associateWith { waiting.getValue(it).toList() }
+        compare()
+    }
+
+    private fun expire() {
+        val expiryNs = context.nowNs - MAX_WAIT_MS * NANOS_PER_MILLI
+        for (id in queriesById.filterValues { it.first().sinceNs < expiryNs }.keys) {
+            finish(id, FinishedJobResult.Unclear)
+        }
+    }
+
+    private fun compare() {
+        isComparing = true
+        nextCompareNs = context.nowNs + COMPARE_GAP_MS * NANOS_PER_MILLI
+        val ids = queriesById.keys.take(context.settings.stateLimits.txnOps * CONDITIONS_PER_OPERATION)
+        val sent = ids.associateWith { queriesById.getValue(it).toList() }
         context.store.existingKeys(ids.map { StoreKeys.FINISHED_JOB + it }) { existingKeys ->
             context.post {
-                comparing = false
+                isComparing = false
                 if (existingKeys != null) context.storeContact.noteResponse()
-                for ((id, asked) in sent) {
+                for ((id, queries) in sent) {
                     when {
-                        existingKeys == null -> finish(id, FinishedJobResult.Unclear, asked)
-                        StoreKeys.FINISHED_JOB + id in existingKeys -> read(id, asked)
-                        else -> finish(id, FinishedJobResult.Absent, asked)
+                        existingKeys == null -> finish(id, FinishedJobResult.Unclear, queries)
+                        StoreKeys.FINISHED_JOB + id in existingKeys -> read(id, queries)
+                        else -> finish(id, FinishedJobResult.Absent, queries)
                     }
                 }
                 run()
@@ -65,45 +78,48 @@
         }
     }
 
-    private fun read(id: String, asked: List<Ask>) {
-        if (reading >= MAX_READS ||
-            !context.transactions.budget.take(WriteCause.READ, 0, context.nowNs)
-        ) {
-            return finish(id, FinishedJobResult.Unclear, asked)
+    private fun read(id: String, queries: List<Query>) {
+        if (readsInFlight >= MAX_READS || !context.transactions.budget.take(WriteCause.READ, 0, context.nowNs)) {
+            return finish(id, FinishedJobResult.Unclear, queries)
         }
-        reading++
-        context.store.get(StoreKeys.FINISHED_JOB + id) { read ->
+        readsInFlight++
+        context.store.get(StoreKeys.FINISHED_JOB + id) { result ->
             context.post {
-                reading--
-                val ended = when (read) {
-                    is ReadResult.Found -> FinishedJobResult.Known(JobCodec.decodeFinished(id, read.value).also(found))
-                    is ReadResult.Absent -> FinishedJobResult.Absent
-                    is ReadResult.Failed -> FinishedJobResult.Unclear
-                }
-                finish(id, ended, asked)
+                readsInFlight--
+                finish(id, decode(id, result), queries)
             }
         }
     }
 
-    /** Answers [asked], or all who ask for [id]; those who came after a comparison was sent wait for the next. */
-    private fun finish(id: String, ended: FinishedJobResult, asked: List<Ask> = waiting[id].orEmpty().toList()) {
-        val open = waiting[id] ?: return
-        val answered = asked.filter { it in open }
-        open.removeAll(answered.toSet())
-        if (open.isEmpty()) waiting.remove(id)
-        asks -= answered.size
-        for (a in answered) a.done(ended)
+    private fun decode(id: String, result: ReadResult): FinishedJobResult = when (result) {
+        is ReadResult.Found -> FinishedJobResult.Known(JobCodec.decodeFinished(id, result.value).also(onFound))
+        is ReadResult.Absent -> FinishedJobResult.Absent
+        is ReadResult.Failed -> FinishedJobResult.Unclear
+    }
+
+    /** Ends [queries] for [id], or all of them; those that came after a compare was sent wait for the next. */
+    private fun finish(
+        id: String,
+        result: FinishedJobResult,
+        queries: List<Query> = queriesById[id].orEmpty().toList(),
+    ) {
+        val open = queriesById[id] ?: return
+        val finished = queries.filter { it in open }
+        open.removeAll(finished.toSet())
+        if (open.isEmpty()) queriesById.remove(id)
+        queryCount -= finished.size
+        for (query in finished) query.done(result)
     }
 
     private companion object {
-        const val MAX_ASKS = 256
+        const val MAX_QUERIES = 256
         const val MAX_READS = 8
 
         /** PROTOCOL-flaxfield.md: four times as many conditions as changes in a transaction. */
-        const val CONDITIONS = 4
+        const val CONDITIONS_PER_OPERATION = 4
 
-        /** Users wait 2 s for a poll's answer, and the view was waited for before. */
-        const val WAIT_MS = 1_200L
-        const val GAP_MS = 100L
+        /** Users wait 2 s for the response to a poll, of which the read of the view takes a part. */
+        const val MAX_WAIT_MS = 1_200L
+        const val COMPARE_GAP_MS = 100L
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/JobAdmission.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobAdmission.kt
@@ -3,27 +3,28 @@
 import flaxfield.fleet.MachineType
 import flaxfield.settings.Team
 
-/** Pure: whether a well-formed job can ever run. */
+/** Whether a well-formed job can ever run. Pure functions. */
 object JobAdmission {
-    /** The reason why not, or null. */
-    fun refuse(s: JobSpec, teams: Map<String, Team>, machineTypes: Map<String, MachineType>): String? {
-        val team = teams[s.team] ?: return "unknown team ${s.team}"
-        if (machineTypes.values.none { allowed(s, it) }) return "a task fits no allowed machine type"
-        val asked = if (s.jobKind == JobKind.GANG) s.taskResources * s.taskCount else s.taskResources
-        if (over(asked.cpus, team.cpusMax) ||
-            over(asked.gpus, team.gpusMax)
-        ) {
+    /** Amounts are decimal numbers: a limit must not be exceeded by the last bit of a product. */
+    private const val EPSILON = 1e-6
+
+    /** Why [spec] can never run, or null if it can. */
+    fun rejectionReason(spec: JobSpec, teams: Map<String, Team>, machineTypes: Map<String, MachineType>): String? {
+        val team = teams[spec.team] ?: return "unknown team ${spec.team}"
+        if (machineTypes.values.none { allowed(spec, it) }) return "a task fits no allowed machine type"
+        val requested = if (spec.jobKind == JobKind.GANG) spec.taskResources * spec.taskCount else spec.taskResources
+        if (exceeds(requested.cpus, team.cpusMax) || exceeds(requested.gpus, team.gpusMax)) {
             return "more than the limit of team ${team.name}"
         }
         return null
     }
 
-    /** Whether a task of [s] may run on machines of type [f] in at least one zone. */
-    fun allowed(s: JobSpec, f: MachineType): Boolean = (s.machineTypes == null || f.label in s.machineTypes) &&
-        f.room.canHold(s.taskResources) &&
-        (s.zone == null || s.zone in f.zones)
+    /** Whether a task of [spec] may run on machines of [machineType] in at least one zone. */
+    fun allowed(spec: JobSpec, machineType: MachineType): Boolean =
+        (spec.machineTypes == null || machineType.label in spec.machineTypes) &&
+            machineType.room.canHold(spec.taskResources) &&
+            (spec.zone == null || spec.zone in machineType.zones)
 
-    private fun over(asked: Double, limit: Double) = limit > 0.0 && asked > limit + EPSILON
-
-    private const val EPSILON = 1e-6
+    /** A limit of 0 is no limit. */
+    private fun exceeds(requested: Double, limit: Double) = limit > 0.0 && requested > limit + EPSILON
 }
--- a/src/main/kotlin/flaxfield/jobs/JobChunk.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobChunk.kt
@@ -3,8 +3,12 @@
 import java.util.BitSet
 
 /**
- * The records of up to `chunkTasks` tasks. [next] is the next attempt number: it only grows, so that no
- * task ever gets an attempt twice. [done] is treated as immutable: changes are made on a clone.
+ * The records of a fixed range of a job's tasks, which share one value in the store. Immutable: changes are made on a
+ * copy, also of [done].
+ *
+ * @property next the next attempt number: it only grows, so that no task ever gets an attempt twice
+ * @property done indexes of completed tasks
+ * @property placed where tasks are, by index
  */
 data class JobChunk(
     val next: Long,
@@ -18,6 +22,7 @@
     val interrupted: Set<Int> = emptySet(),
 ) {
     companion object {
+        /** The records of tasks that were never placed; not in the store yet. */
         fun empty() = JobChunk(1, BitSet(), emptyMap(), 0uL)
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/JobCodec.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobCodec.kt
@@ -4,14 +4,14 @@
 import flaxfield.codec.MalformedException
 import java.util.BitSet
 
-/** Wire and store forms of jobs; the users' field names appear only here. */
+/** Wire and stored forms of jobs; the users' field names and those of stored jobs appear only here. */
 object JobCodec {
-    /** Longest text we take in any field: a job's head must fit its store value many times over. */
-    private const val MAX_TEXT = 200
-    private const val MAX_SHARDS = 100_000
+    /** The longest text that is taken in any field: a job's head must fit its value many times over. */
+    private const val MAX_TEXT_LENGTH = 200
+    private const val MAX_TASKS = 100_000
     private val ID = Regex("job-[0-9]{1,18}")
 
-    private val shapes = mapOf("sweep" to JobKind.ARRAY, "group" to JobKind.GANG, "daemon" to JobKind.SERVICE)
+    private val jobKinds = mapOf("sweep" to JobKind.ARRAY, "group" to JobKind.GANG, "daemon" to JobKind.SERVICE)
     private val priorities = mapOf(
         "prod" to Priority.PROD,
         "high" to Priority.HIGH,
@@ -23,110 +23,148 @@
     fun isId(id: String): Boolean = ID.matches(id)
 
     /** Reads a submission; throws [MalformedException] for a missing or invalid field. */
-    fun spec(o: FieldMap): JobSpec {
-        val id = text(o, "id")
+    fun decodeSpec(fields: FieldMap): JobSpec {
+        val id = text(fields, "id")
         if (!isId(id)) throw MalformedException("id is invalid")
-        val taskCount = o.requireInt("shards")
-        if (taskCount !in 1..MAX_SHARDS) throw MalformedException("shards is invalid")
-        val machineTypes = o.textList("flavors")
-        if (machineTypes == null && o.map["flavors"] != null) throw MalformedException("flavors is invalid")
+        val taskCount = fields.requireInt("shards")
+        if (taskCount !in 1..MAX_TASKS) throw MalformedException("shards is invalid")
+        val machineTypes = fields.textList("flavors")
+        if (machineTypes == null && fields.map["flavors"] != null) throw MalformedException("flavors is invalid")
         return JobSpec(
             id = id,
-            jobClass = text(o, "jobclass"),
-            team = text(o, "owner"),
-            jobKind = shapes[o.text("shape")] ?: throw MalformedException("shape is invalid"),
-            priority = priorities[o.text("urgency")] ?: throw MalformedException("urgency is invalid"),
+            jobClass = text(fields, "jobclass"),
+            team = text(fields, "owner"),
+            jobKind = jobKinds[fields.text("shape")] ?: throw MalformedException("shape is invalid"),
+            priority = priorities[fields.text("urgency")] ?: throw MalformedException("urgency is invalid"),
             taskCount = taskCount,
-            taskResources = Resources(amount(o, "vcpus"), amount(o, "accelerators"), amount(o, "ram_gb")),
-            image = text(o, "bundle"),
-            imageGb = amount(o, "pull_gb"),
+            taskResources = Resources(
+                amount(fields, "vcpus"),
+                amount(fields, "accelerators"),
+                amount(fields, "ram_gb"),
+            ),
+            image = text(fields, "bundle"),
+            imageGb = amount(fields, "pull_gb"),
             machineTypes = machineTypes?.toSet(),
-            zone = optionalText(o, "site"),
-            sameZone = o.requireBoolean("same_place"),
-            spreadAcrossZones = o.requireBoolean("scatter"),
-            preemptible = o.requireBoolean("lendable"),
-            expectedRuntimeS = amount(o, "expect_s"),
-            checkpointIntervalS = amount(o, "snapshot_every_s"),
-            checkpointDurationS = amount(o, "snapshot_s"),
-            deadlineS = if (o.map["due_s"] == null) null else amount(o, "due_s"),
+            zone = optionalText(fields, "site"),
+            sameZone = fields.requireBoolean("same_place"),
+            spreadAcrossZones = fields.requireBoolean("scatter"),
+            preemptible = fields.requireBoolean("lendable"),
+            expectedRuntimeS = amount(fields, "expect_s"),
+            checkpointIntervalS = amount(fields, "snapshot_every_s"),
+            checkpointDurationS = amount(fields, "snapshot_s"),
+            deadlineS = if (fields.map["due_s"] == null) null else amount(fields, "due_s"),
         )
     }
 
-    fun encodeSpec(s: JobSpec): Map<String, Any?> = mapOf(
-        "id" to s.id, "jobclass" to s.jobClass, "owner" to s.team,
-        "shape" to shapes.entries.first { it.value == s.jobKind }.key,
-        "urgency" to priorities.entries.first { it.value == s.priority }.key,
-        "shards" to s.taskCount, "vcpus" to s.taskResources.cpus, "accelerators" to s.taskResources.gpus,
-        "ram_gb" to s.taskResources.ram,
-        "bundle" to s.image, "pull_gb" to s.imageGb, "flavors" to s.machineTypes?.toList(), "site" to s.zone,
-        "same_place" to s.sameZone, "scatter" to s.spreadAcrossZones, "lendable" to s.preemptible,
-        "expect_s" to s.expectedRuntimeS, "snapshot_every_s" to s.checkpointIntervalS,
-        "snapshot_s" to s.checkpointDurationS, "due_s" to s.deadlineS,
+    /** The wire form of a submission, which is also its stored form. */
+    fun encodeSpec(spec: JobSpec): Map<String, Any?> = mapOf(
+        "id" to spec.id,
+        "jobclass" to spec.jobClass,
+        "owner" to spec.team,
+        "shape" to jobKinds.entries.first { it.value == spec.jobKind }.key,
+        "urgency" to priorities.entries.first { it.value == spec.priority }.key,
+        "shards" to spec.taskCount,
+        "vcpus" to spec.taskResources.cpus,
+        "accelerators" to spec.taskResources.gpus,
+        "ram_gb" to spec.taskResources.ram,
+        "bundle" to spec.image,
+        "pull_gb" to spec.imageGb,
+        "flavors" to spec.machineTypes?.toList(),
+        "site" to spec.zone,
+        "same_place" to spec.sameZone,
+        "scatter" to spec.spreadAcrossZones,
+        "lendable" to spec.preemptible,
+        "expect_s" to spec.expectedRuntimeS,
+        "snapshot_every_s" to spec.checkpointIntervalS,
+        "snapshot_s" to spec.checkpointDurationS,
+        "due_s" to spec.deadlineS,
     )
 
     /** The head's value: the job and its chunk 0. */
-    fun encodeHead(j: Job): Map<String, Any?> = mapOf(
-        "spec" to encodeSpec(j.spec),
-        "at" to j.submittedMs,
-        "cancelled" to j.cancelledMs,
-        "bad" to j.failedMachines,
-        "errors" to j.failureCount,
-        "retry" to j.retryAtMs,
-        "size" to j.chunkTasks,
-    ) + encodeChunk(j.chunks[0] ?: JobChunk.empty())
-
-    fun decodeHead(o: FieldMap, version: ULong): Job = Job(
-        spec = spec(o.requireMap("spec")),
-        submittedMs = o.requireUnsigned("at").toLong(),
-        cancelledMs = o.count("cancelled")?.toLong(),
-        failedMachines = o.textList("bad").orEmpty(),
-        failureCount = o.int("errors") ?: 0,
-        retryAtMs = o.count("retry")?.toLong() ?: 0,
-        chunkTasks = o.requireInt("size"),
-        chunks = mapOf(0 to decodeChunk(o, version)),
+    fun encodeHead(job: Job): Map<String, Any?> = mapOf(
+        "spec" to encodeSpec(job.spec),
+        "at" to job.submittedMs,
+        "cancelled" to job.cancelledMs,
+        "bad" to job.failedMachines,
+        "errors" to job.failureCount,
+        "retry" to job.retryAtMs,
+        "size" to job.chunkTasks,
+    ) + encodeChunk(job.chunks[0] ?: JobChunk.empty())
+
+    /** Reads a head's value; throws [MalformedException] for a missing or invalid field. */
+    fun decodeHead(fields: FieldMap, version: ULong): Job = Job(
+        spec = decodeSpec(fields.requireMap("spec")),
+        submittedMs = fields.requireUnsigned("at").toLong(),
+        cancelledMs = fields.count("cancelled")?.toLong(),
+        failedMachines = fields.textList("bad").orEmpty(),
+        failureCount = fields.int("errors") ?: 0,
+        retryAtMs = fields.count("retry")?.toLong() ?: 0,
+        chunkTasks = fields.requireInt("size"),
+        chunks = mapOf(0 to decodeChunk(fields, version)),
         version = version,
     )
 
-    fun encodeChunk(c: JobChunk): Map<String, Any?> = mapOf(
-        "next" to c.next,
-        "done" to ranges(c.done),
-        "placed" to c.placed.values.map { listOf(it.index, it.attempt, it.machineName, it.incarnation, it.stopping) },
-    ) + (if (c.interrupted.isEmpty()) emptyMap() else mapOf("lost" to ranges(bits(c.interrupted))))
-
-    fun decodeChunk(o: FieldMap, version: ULong): JobChunk {
-        val done = bits(o, "done")
-        val placed = o.list("placed").orEmpty().map { row ->
-            row as List<*>
-            Placement(
-                (row[0] as Number).toInt(),
-                (row[1] as Number).toLong(),
-                row[2] as String,
-                FieldMap.requireUnsigned(row[3]),
-                row[4] as Boolean,
-            )
-        }
-        val interrupted = bits(o, "lost").stream().toArray().toSet()
-        return JobChunk(o.requireUnsigned("next").toLong(), done, placed.associateBy { it.index }, version, interrupted)
+    /** A chunk's value; that of chunk 0 is part of the head's. */
+    fun encodeChunk(chunk: JobChunk): Map<String, Any?> {
+        val value = mapOf(
+            "next" to chunk.next,
+            "done" to encodeRanges(chunk.done),
+            "placed" to chunk.placed.values.map(::encodePlacement),
+        )
+        return if (chunk.interrupted.isEmpty()) value else value + ("lost" to encodeRanges(bitSetOf(chunk.interrupted)))
     }
 
-    fun encodeFinished(f: FinishedJob): Map<String, Any?> = mapOf("aborted" to f.aborted, "done" to f.done)
+    private fun encodePlacement(placement: Placement): List<Any> = listOf(
+        placement.index,
+        placement.attempt,
+        placement.machineName,
+        placement.incarnation,
+        placement.stopping,
+    )
+
+    /** Reads a chunk's value. */
+    fun decodeChunk(fields: FieldMap, version: ULong): JobChunk = JobChunk(
+        next = fields.requireUnsigned("next").toLong(),
+        done = decodeRanges(fields, "done"),
+        placed = fields.list("placed").orEmpty().map { decodePlacement(it as List<*>) }.associateBy { it.index },
+        version = version,
+        interrupted = decodeRanges(fields, "lost").stream().toArray().toSet(),
+    )
+
+    private fun decodePlacement(row: List<*>) = Placement(
+        index = (row[0] as Number).toInt(),
+        attempt = (row[1] as Number).toLong(),
+        machineName = row[2] as String,
+        incarnation = FieldMap.requireUnsigned(row[3]),
+        stopping = row[4] as Boolean,
+    )
+
+    /** A finished job's value; its id is in the key. */
+    fun encodeFinished(job: FinishedJob): Map<String, Any?> = mapOf("aborted" to job.aborted, "done" to job.done)
 
-    fun decodeFinished(id: String, o: FieldMap) = FinishedJob(id, o.flag("aborted") ?: false, o.int("done") ?: 0)
+    /** Reads a finished job's value. */
+    fun decodeFinished(id: String, fields: FieldMap) =
+        FinishedJob(id, fields.flag("aborted") ?: false, fields.int("done") ?: 0)
 
-    /** The answer users get for a job that is not over. */
-    fun status(j: Job): Map<String, Any?> = mapOf(
-        "id" to j.id,
+    /** The status that users get for a job that is not over. */
+    fun status(job: Job): Map<String, Any?> = mapOf(
+        "id" to job.id,
         "phase" to when {
-            j.cancelled -> "aborted"
-            j.placedCount > 0 -> "running"
+            job.cancelled -> "aborted"
+            job.placedCount > 0 -> "running"
             else -> "pending"
         },
-        "done" to j.doneCount,
-        "running" to j.placedCount,
+        "done" to job.doneCount,
+        "running" to job.placedCount,
     )
 
-    fun status(f: FinishedJob): Map<String, Any?> =
-        mapOf("id" to f.id, "phase" to if (f.aborted) "aborted" else "done", "done" to f.done, "running" to 0)
+    /** The status that users get for a job that is over. */
+    fun status(job: FinishedJob): Map<String, Any?> = mapOf(
+        "id" to job.id,
+        "phase" to if (job.aborted) "aborted" else "done",
+        "done" to job.done,
+        "running" to 0,
+    )
 
     /** Reads a task's name, its job's id and its index; null if it has another form. */
     fun parseTaskId(name: String): TaskId? {
@@ -138,16 +176,15 @@
     /** The name of a task on the wire. */
     fun taskName(id: String, index: Int): String = "$id/$index"
 
-    private fun bits(o: FieldMap, key: String): BitSet {
+    /** Reads a list of pairs: the first and the last index of each range. */
+    private fun decodeRanges(fields: FieldMap, name: String): BitSet {
         val result = BitSet()
-        val ends = o.list(key).orEmpty().map { (it as Number).toInt() }
-        for (k in 0 until ends.size - 1 step 2) result.set(ends[k], ends[k + 1] + 1)
+        val bounds = fields.list(name).orEmpty().map { (it as Number).toInt() }
+        for (first in 0 until bounds.size - 1 step 2) result.set(bounds[first], bounds[first + 1] + 1)
         return result
     }
 
-    private fun bits(indexes: Set<Int>): BitSet = BitSet().apply { for (i in indexes) set(i) }
-
-    private fun ranges(bits: BitSet): List<Int> = buildList {
+    private fun encodeRanges(bits: BitSet): List<Int> = buildList {
         var from = bits.nextSetBit(0)
         while (from >= 0) {
             val to = bits.nextClearBit(from)
@@ -157,17 +194,20 @@
         }
     }
 
-    private fun text(o: FieldMap, key: String): String {
-        val t = o.requireText(key)
-        if (t.isEmpty() || t.length > MAX_TEXT) throw MalformedException("$key is invalid")
-        return t
+    private fun bitSetOf(indexes: Set<Int>): BitSet = BitSet().apply { for (index in indexes) set(index) }
+
+    private fun text(fields: FieldMap, name: String): String {
+        val text = fields.requireText(name)
+        if (text.isEmpty() || text.length > MAX_TEXT_LENGTH) throw MalformedException("$name is invalid")
+        return text
     }
 
-    private fun optionalText(o: FieldMap, key: String): String? = if (o.map[key] == null) null else text(o, key)
+    private fun optionalText(fields: FieldMap, name: String): String? =
+        if (fields.map[name] == null) null else text(fields, name)
 
-    private fun amount(o: FieldMap, key: String): Double {
-        val v = o.requireNumber(key)
-        if (!(v >= 0.0) || v.isInfinite()) throw MalformedException("$key is invalid")
-        return v
+    private fun amount(fields: FieldMap, name: String): Double {
+        val amount = fields.requireNumber(name)
+        if (!(amount >= 0.0) || amount.isInfinite()) throw MalformedException("$name is invalid")
+        return amount
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/JobSpec.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSpec.kt
@@ -15,7 +15,21 @@
 /** From the least to the most urgent; a later one may preempt an earlier one. */
 enum class Priority { IDLE, STANDARD, HIGH, PROD }
 
-/** What a user submitted; it never changes. */
+/**
+ * What a user submitted; it never changes. Sizes are in GB, times in seconds.
+ *
+ * @property taskResources what each task requests of its machine
+ * @property image the container image that a machine must have pulled before a task starts
+ * @property machineTypes the machine types that tasks may run on; null for any
+ * @property zone the zone that tasks must run in; null for any
+ * @property sameZone whether all tasks must run in one zone
+ * @property spreadAcrossZones whether one zone may have at most half of the tasks, rounded up
+ * @property preemptible whether tasks may run on preemptible machines
+ * @property expectedRuntimeS how long a task runs, by the user's estimate
+ * @property checkpointIntervalS how often a task saves a checkpoint; 0 if it does not
+ * @property checkpointDurationS how long a checkpoint takes
+ * @property deadlineS when the job should be complete, measured from its submission; null without a deadline
+ */
 data class JobSpec(
     val id: String,
     val jobClass: String,
--- /dev/null
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -0,0 +1,143 @@
+package flaxfield.jobs
+
+import flaxfield.BYTES_PER_KIB
+import flaxfield.arrays.ArrayScheduler
+import flaxfield.codec.Cbor
+import flaxfield.codec.MalformedException
+import flaxfield.controller.ControllerContext
+import flaxfield.net.Responder
+import flaxfield.store.Change
+import flaxfield.store.StoreKeys
+import flaxfield.store.Transaction
+import flaxfield.store.TransactionOutcome
+import flaxfield.store.TransactionSize
+import flaxfield.store.WriteCause
+import org.slf4j.LoggerFactory
+
+/**
+ * Accepts users' jobs. A submission is idempotent by its job's id: a repeat gets the accepted job's status.
+ *
+ * @param begin places the first tasks of a job that is just being submitted, if that can be done at once
+ * @param sendStatus answers with a job's status
+ */
+internal class JobSubmitter(
+    private val context: ControllerContext,
+    private val reader: JobReader,
+    private val begin: (Job) -> ArrayScheduler.InitialPlacement?,
+    private val sendStatus: (String, Responder) -> Unit,
+) {
+    private val tasksPerChunk = JobTransactions.tasksPerChunk(context.settings.stateLimits)
+    private val maxSpecBytes = context.settings.stateLimits.valueKb * BYTES_PER_KIB * SPEC_SHARE
+
+    /** Handles one submission; [body] is the job in its wire form. */
+    fun submit(body: ByteArray, responder: Responder) {
+        val spec = try {
+            JobCodec.decodeSpec(Cbor.decode(body))
+        } catch (e: MalformedException) {
+            log.info("event=submission_malformed reason={}", e.message)
+            return responder.send(JobResponse.Malformed(e.message ?: "malformed"))
+        }
+        if (TransactionSize.json(JobCodec.encodeSpec(spec)) > maxSpecBytes) {
+            return responder.send(JobResponse.Malformed("flavors is too long"))
+        }
+        val finished = reader.rememberedAsFinished(spec.id)
+        if (finished != null) return responder.send(JobResponse.Finished(finished))
+        if (context.view.jobs.containsKey(spec.id)) return sendStatus(spec.id, responder)
+        if (context.view.machineTypes.isEmpty()) {
+            return responder.send(JobResponse.Unavailable("machine types are not known yet"))
+        }
+        val rejection = JobAdmission.rejectionReason(spec, context.settings.teams, context.view.machineTypes)
+        if (rejection != null) return reject(spec, rejection, responder)
+        if (reader.storeSeemsSilent()) return responder.send(JobResponse.Unavailable(STORE_SILENT))
+        accept(newJob(spec), responder, mayBegin = true)
+    }
+
+    private fun newJob(spec: JobSpec) = Job(
+        spec = spec,
+        submittedMs = context.nowMs,
+        cancelledMs = null,
+        failedMachines = emptyList(),
+        failureCount = 0,
+        retryAtMs = 0,
+        chunkTasks = tasksPerChunk,
+        chunks = mapOf(0 to JobChunk.empty()),
+        version = 0uL,
+    )
+
+    private fun accept(job: Job, responder: Responder, mayBegin: Boolean) {
+        val key = StoreKeys.JOB + job.id
+        if (context.transactions.isWritePending(key)) {
+            return responder.send(JobResponse.Unavailable("a submission of this job is under way"))
+        }
+        if (!context.transactions.mayWrite(WriteCause.SUBMIT, 1)) return sendTooMany(responder)
+        val initial = if (mayBegin) begin(job) else null
+        val transaction = Transaction(
+            initial?.conditions.orEmpty() + mapOf(key to 0uL, StoreKeys.FINISHED_JOB + job.id to 0uL),
+            listOf(Change.Put(key, JobCodec.encodeHead(initial?.job ?: job))),
+        )
+        val sent = context.transactions.submit(WriteCause.SUBMIT, transaction) { outcome ->
+            when (outcome) {
+                is TransactionOutcome.Committed -> {
+                    logAccepted(job.spec, initial?.job)
+                    responder.send(JobResponse.Accepted(job.id))
+                }
+                // A machine or the assignment has changed meanwhile, or the job is known already: the plain record
+                // tells which.
+                is TransactionOutcome.Conflict -> if (initial != null) {
+                    accept(job, responder, mayBegin = false)
+                } else {
+                    sendStatus(job.id, responder)
+                }
+                is TransactionOutcome.Refused, is TransactionOutcome.Unknown ->
+                    responder.send(JobResponse.Unavailable(STORE_SILENT))
+            }
+        }
+        if (!sent) sendTooMany(responder)
+    }
+
+    private fun logAccepted(spec: JobSpec, placedJob: Job?) {
+        log.info(
+            "event=job_accepted job={} class={} team={} tasks={} image={} image_gb={} expected_runtime_s={}",
+            spec.id,
+            spec.jobClass,
+            spec.team,
+            spec.taskCount,
+            spec.image,
+            spec.imageGb,
+            spec.expectedRuntimeS,
+        )
+        for (placement in placedJob?.allPlaced().orEmpty()) {
+            log.info(
+                "event=task_placed_at_submission term={} job={} task={} attempt={} machine={}",
+                context.leadership.term(),
+                spec.id,
+                placement.index,
+                placement.attempt,
+                placement.machineName,
+            )
+        }
+    }
+
+    /** A repeat of an accepted job must never be rejected, so the rejection is checked against the store first. */
+    private fun reject(spec: JobSpec, reason: String, responder: Responder) =
+        reader.readCurrent(spec.id, responder) { job ->
+            if (job != null) {
+                responder.send(JobResponse.Live(job))
+            } else {
+                reader.findFinished(spec.id, responder, { responder.send(JobResponse.Finished(it)) }) {
+                    log.info("event=job_rejected job={} reason=\"{}\"", spec.id, reason)
+                    responder.send(JobResponse.Rejected(reason))
+                }
+            }
+        }
+
+    private fun sendTooMany(responder: Responder) = responder.send(JobResponse.Unavailable("too many submissions"))
+
+    private companion object {
+        val log = LoggerFactory.getLogger("flaxfield.jobs")
+        const val STORE_SILENT = "the state service does not answer"
+
+        /** The share of a value that the job as submitted may take. */
+        const val SPEC_SHARE = 0.3
+    }
+}
--- a/src/main/kotlin/flaxfield/jobs/Resources.kt
+++ b/src/main/kotlin/flaxfield/jobs/Resources.kt
@@ -1,24 +1,27 @@
 package flaxfield.jobs
 
-/** What one task takes of its machine, or what a machine has. */
+/** What one task requests of its machine, or what a machine has; [ram] is in GB. */
 data class Resources(val cpus: Double, val gpus: Double, val ram: Double) {
-    operator fun plus(o: Resources) = Resources(cpus + o.cpus, gpus + o.gpus, ram + o.ram)
+    operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, ram + other.ram)
 
-    operator fun minus(o: Resources) = Resources(cpus - o.cpus, gpus - o.gpus, ram - o.ram)
+    operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, ram - other.ram)
 
-    operator fun times(n: Int) = Resources(cpus * n, gpus * n, ram * n)
+    operator fun times(count: Int) = Resources(cpus * count, gpus * count, ram * count)
 
-    /** Whether a task of size [taskResources] fits in here. */
+    /** Whether a task that requests [taskResources] fits. */
     fun canHold(taskResources: Resources): Boolean = cpus + EPSILON >= taskResources.cpus &&
         gpus + EPSILON >= taskResources.gpus &&
         ram + EPSILON >= taskResources.ram
 
-    /** How many tasks of size [taskResources] fit in here. */
-    fun countFitting(taskResources: Resources): Int =
-        minOf(parts(cpus, taskResources.cpus), parts(gpus, taskResources.gpus), parts(ram, taskResources.ram))
+    /** How many tasks that request [taskResources] each fit. */
+    fun countFitting(taskResources: Resources): Int = minOf(
+        countFitting(cpus, taskResources.cpus),
+        countFitting(gpus, taskResources.gpus),
+        countFitting(ram, taskResources.ram),
+    )
 
-    private fun parts(have: Double, taskResources: Double): Int =
-        if (taskResources <= 0.0) Int.MAX_VALUE else ((have + EPSILON) / taskResources).toInt().coerceAtLeast(0)
+    private fun countFitting(available: Double, requested: Double): Int =
+        if (requested <= 0.0) Int.MAX_VALUE else ((available + EPSILON) / requested).toInt().coerceAtLeast(0)
 
     companion object {
         val NONE = Resources(0.0, 0.0, 0.0)
--- a/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
+++ b/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
@@ -5,83 +5,112 @@
 import org.slf4j.LoggerFactory
 
 /** Why a job makes no progress. */
-enum class Stall { BACKS_OFF, WAITS_FOR_ROOM, WAITS_FOR_PROOF, RUNS, MACHINE_GONE }
+enum class Stall {
+    /** It failed on several machines, and its retry delay is not over. */
+    BACKS_OFF,
 
-/** Pure: what keeps a job from moving on. */
+    /** Pending tasks wait for free resources. */
+    WAITS_FOR_RESOURCES,
+
+    /** Tasks are to leave their machines, and it is not proven yet that they did. */
+    WAITS_FOR_PROOF,
+
+    /** It does: all its tasks are placed. */
+    RUNS,
+
+    /** A task is recorded on a machine whose record was dropped. */
+    MACHINE_GONE,
+}
+
+/** What keeps a job from making progress. Pure functions. */
 object StallRules {
-    /** [known] tells whether a host's record exists: it is dropped only once its return was answered. */
-    fun reason(job: Job, nowMs: Long, known: (String) -> Boolean): Stall = when {
-        job.allPlaced().any { !known(it.machineName) } -> Stall.MACHINE_GONE
+    /** [isKnown] tells whether a machine's record exists: it is dropped only once the machine's return was answered. */
+    fun reason(job: Job, nowMs: Long, isKnown: (String) -> Boolean): Stall = when {
+        job.allPlaced().any { !isKnown(it.machineName) } -> Stall.MACHINE_GONE
         job.retryAtMs > nowMs -> Stall.BACKS_OFF
-        job.pendingCount > 0 -> Stall.WAITS_FOR_ROOM
+        job.pendingCount > 0 -> Stall.WAITS_FOR_RESOURCES
         job.cancelled || job.allPlaced().any { it.stopping } -> Stall.WAITS_FOR_PROOF
         else -> Stall.RUNS
     }
 }
 
-/** The leader's look at jobs whose records do not change: it names them, and heals what no one else would. */
+/**
+ * Watches for jobs whose records do not change: the leader logs them, and frees tasks on machines that are gone, which
+ * nothing else would.
+ */
 class StallMonitor(private val context: ControllerContext, private val taskEvents: TaskEventCommitter) {
-    private class Seen(val version: ULong, val sinceNs: Long) {
-        /** How often it has been named: once in each [STILL_S], not at each look. */
-        var named = 0
+    /** A job's version as last seen, and since when. */
+    private class Observation(val version: ULong, val sinceNs: Long) {
+        /** How often the stall was logged: once in each [STALL_S], not at each check. */
+        var logCount = 0
     }
 
-    private val seen = HashMap<String, Seen>()
-    private var nextNs = 0L
+    private val observations = HashMap<String, Observation>()
+    private var nextCheckNs = 0L
 
+    /** Checks all jobs once in a while, if this process is the leader. */
     fun tick() {
-        if (context.nowNs < nextNs) return
-        nextNs = context.nowNs + (context.settings.workers.leaseS * LOOK_LEASES * NANOS_PER_SECOND).toLong()
-        if (!context.leadership.isLeader()) return seen.clear()
-        val w = context.view
-        seen.keys.retainAll(w.jobs.keys)
-        for (job in w.jobs.values) {
+        if (context.nowNs < nextCheckNs) return
+        nextCheckNs = context.nowNs + (context.settings.workers.leaseS * CHECK_LEASES * NANOS_PER_SECOND).toLong()
+        if (!context.leadership.isLeader()) return observations.clear()
+        val jobs = context.view.jobs
+        observations.keys.retainAll(jobs.keys)
+        for (job in jobs.values) {
             val version = job.chunks.values.maxOfOrNull { it.version } ?: job.version
-            val before = seen[job.id]
+            val before = observations[job.id]
             if (before == null || before.version != version) {
-                seen[job.id] = Seen(version, context.nowNs)
-                continue
+                observations[job.id] = Observation(version, context.nowNs)
+            } else {
+                check(job, before)
             }
-            look(job, before)
         }
     }
 
-    private fun look(job: Job, seen: Seen) {
-        val stillS = (context.nowNs - seen.sinceNs) / NANOS_PER_SECOND
-        val known = context.view.machines::containsKey
-        if (stillS > context.settings.workers.leaseS &&
-            StallRules.reason(job, context.nowMs, known) == Stall.MACHINE_GONE
-        ) {
-            // A host's record goes only with the answer to its return, and names are never used again.
-            for (p in job.allPlaced().filter { !known(it.machineName) }) {
-                taskEvents.add(TaskEvent.Lost(job.id, p.index, p.attempt, p.machineName, "host is gone", false))
-            }
+    private fun check(job: Job, observation: Observation) {
+        val unchangedS = (context.nowNs - observation.sinceNs) / NANOS_PER_SECOND
+        if (unchangedS > context.settings.workers.leaseS && reason(job) == Stall.MACHINE_GONE) loseTasksOnGone(job)
+        if (unchangedS < STALL_S * (observation.logCount + 1)) return
+        observation.logCount++
+        val reason = reason(job)
+        if (reason != Stall.RUNS) logStall(job, unchangedS, reason)
+    }
+
+    private fun reason(job: Job): Stall = StallRules.reason(job, context.nowMs, context.view.machines::containsKey)
+
+    /** A machine's record is dropped only after its return was answered, and names are never used again. */
+    private fun loseTasksOnGone(job: Job) {
+        for (placement in job.allPlaced().filter { it.machineName !in context.view.machines }) {
+            taskEvents.add(
+                TaskEvent.Lost(
+                    job.id,
+                    placement.index,
+                    placement.attempt,
+                    placement.machineName,
+                    "machine_gone",
+                    failed = false,
+                ),
+            )
         }
-        if (stillS < STILL_S * (seen.named + 1)) return
-        seen.named++
-        val reason = StallRules.reason(job, context.nowMs, known)
-        if (reason == Stall.RUNS) return
-        log.info(
-            "job={} term={} stands still for {} s: {} pending={} placed={} owner={}",
-            job.id,
-            context.leadership.term(),
-            stillS.toInt(),
-            reason,
-            job.pendingCount,
-            job.placedCount,
-            job.spec.team,
-        )
     }
 
+    private fun logStall(job: Job, unchangedS: Double, reason: Stall) = log.info(
+        "event=job_stalled term={} job={} reason={} unchanged_s={} pending={} placed={} team={}",
+        context.leadership.term(),
+        job.id,
+        reason.name.lowercase(),
+        unchangedS.toInt(),
+        job.pendingCount,
+        job.placedCount,
+        job.spec.team,
+    )
+
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.jobs")
 
-        /** How often the records are looked at, in leases. */
-        const val LOOK_LEASES = 1.0
+        /** How often the records are checked, in leases. */
+        const val CHECK_LEASES = 1.0
 
-        /**
-         * The operators ask that no job goes 75 s without an answered question; one that stands still as long is named.
-         */
-        const val STILL_S = 75.0
+        /** The operators ask that no job waits 75 s without an explanation: one unchanged for as long is logged. */
+        const val STALL_S = 75.0
     }
 }
