--- a/src/main/kotlin/flaxfield/controller/CommandQueue.kt
+++ b/src/main/kotlin/flaxfield/controller/CommandQueue.kt
@@ -1,5 +1,9 @@
 package flaxfield.controller
 
+import java.util.concurrent.TimeUnit
+import java.util.concurrent.locks.ReentrantLock
+import kotlin.concurrent.withLock
+
 /**
  * The owner thread's queue, of [capacity] places for messages from outside. The process's own follow-ups come first,
  * then workers and peers, then users: while all workers come back at once, users' polls must not cost leases. Safe from
@@ -9,7 +13,8 @@
     private val followUps = ArrayDeque<Command>()
     private val workers = ArrayDeque<Command>()
     private val users = ArrayDeque<Command>()
-    private val lock = Object()
+    private val lock = ReentrantLock()
+    private val notEmpty = lock.newCondition()
 
     /** Takes one of the process's own follow-ups: they are bounded by the requests it has open. */
     fun addFollowUp(command: Command) = add(followUps, command, Int.MAX_VALUE)
@@ -20,27 +25,27 @@
         return if (isOfUser) add(users, command, (capacity * USERS_SHARE).toInt()) else add(workers, command, capacity)
     }
 
-    private fun add(queue: ArrayDeque<Command>, command: Command, limit: Int): Boolean = synchronized(lock) {
+    private fun add(queue: ArrayDeque<Command>, command: Command, limit: Int): Boolean = lock.withLock {
         if (queue.size >= limit) return false
         queue.addLast(command)
-        lock.notify()
+        notEmpty.signal()
         true
     }
 
     /** How many commands wait. */
-    val size: Int get() = synchronized(lock) { followUps.size + workers.size + users.size }
+    val size: Int get() = lock.withLock { followUps.size + workers.size + users.size }
 
     /** Messages of workers and peers that wait. */
-    val workersWaiting: Int get() = synchronized(lock) { workers.size }
+    val workersWaiting: Int get() = lock.withLock { workers.size }
 
     /** Waits up to [timeoutMs] for a command; false if there is none. */
-    fun await(timeoutMs: Long): Boolean = synchronized(lock) {
-        if (size == 0) lock.wait(timeoutMs)
+    fun await(timeoutMs: Long): Boolean = lock.withLock {
+        if (size == 0) notEmpty.await(timeoutMs, TimeUnit.MILLISECONDS)
         size > 0
     }
 
     /** Moves up to [max] commands into [batch], which is empty; users get at least a small share of it. */
-    fun take(batch: MutableList<Command>, max: Int) = synchronized(lock) {
+    fun take(batch: MutableList<Command>, max: Int) = lock.withLock {
         val reservedForUsers = minOf(users.size, (max * MIN_USERS_SHARE).toInt())
         move(followUps, batch, max)
         move(workers, batch, max - reservedForUsers)
--- a/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
+++ b/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sends this process's compare-and-swap transactions within its part of the store's rate limits, and knows which keys
+ * Sends this process's compare-and-swap transactions within its share of the store's rate limits, and knows which keys
  * have a write whose outcome the view does not show yet. Owned by the owner thread.
  */
 class TransactionSubmitter(
@@ -26,16 +26,16 @@
     private val stats: ControllerStats,
     private val post: (() -> Unit) -> Unit,
 ) {
-    /** This process's part of the store's request and write rates. */
+    /** This process's share of the store's request and write rates. */
     val budget = StoreBudget(settings.stateLimits, settings.size)
 
-    /** Keys that a transaction of ours is changing: null while it is open, else the revision to wait for. */
+    /** Keys that a transaction of this process changes: null while it is open, else the revision to wait for. */
     private val pending = HashMap<String, ULong?>()
 
     /** Keys whose last value was too large to write, and until when they are left alone. */
     private val rejectedUntilNs = HashMap<String, Long>()
 
-    /** Takes the part of the store's rate limits that this process's role gives it now. */
+    /** Takes the share of the store's rate limits that this process's role gives it now. */
     fun updateBudgetShare(leadership: Leadership) {
         val members = view.assignment?.members?.size ?: 0
         budget.setShare(RateShare.of(settings.size, members, leadership.mayAct(), leadership.isLeader()))
@@ -49,26 +49,27 @@
         if (pending.isNotEmpty()) pending.values.removeIf { it != null && it <= view.revision }
     }
 
-    /** Whether a transaction of [writes] changes for [cause] would be sent now: to be asked before it is built. */
-    fun mayWrite(cause: WriteCause, writes: Int): Boolean = budget.may(cause, writes, clock.steadyNs())
+    /** Whether a transaction of [changes] changes for [cause] would be sent now: to be asked before it is built. */
+    fun mayWrite(cause: WriteCause, changes: Int): Boolean = budget.may(cause, changes, clock.steadyNs())
 
     /**
-     * Sends a transaction if the budget has room for its cause; false if not. The changed keys are pending until the
-     * view shows the outcome. [done] runs on the owner thread.
+     * Sends a transaction if the budget allows one for [cause]; false, with nothing done, if not. The changed keys are
+     * pending until the view shows the outcome. [done] runs on the owner thread.
      */
     fun submit(cause: WriteCause, transaction: Transaction, done: (TransactionOutcome) -> Unit = {}): Boolean {
         if (!mayWrite(cause, transaction.changes.size)) return false
-        if (rejectedUntilNs.isNotEmpty() &&
-            transaction.changes.any { (rejectedUntilNs[it.key] ?: 0L) > clock.steadyNs() }
-        ) {
-            return false
-        }
+        if (isRejected(transaction)) return false
         val fault = TransactionSize.fault(transaction, settings.stateLimits)
         if (fault != null) {
             reject(transaction, fault)
             return false
         }
         if (!budget.take(cause, transaction.changes.size, clock.steadyNs())) return false
+        send(cause, transaction, done)
+        return true
+    }
+
+    private fun send(cause: WriteCause, transaction: Transaction, done: (TransactionOutcome) -> Unit) {
         stats.addChanges(cause, transaction.changes.size)
         for (change in transaction.changes) pending[change.key] = null
         store.txn(transaction) { outcome ->
@@ -77,30 +78,34 @@
                 done(outcome)
             }
         }
-        return true
     }
 
-    /**
-     * A defect: what is too large must be split by whoever writes it. Tried at each turn, it would only cost the turns.
-     */
+    private fun isRejected(transaction: Transaction): Boolean = rejectedUntilNs.isNotEmpty() &&
+        transaction.changes.any { (rejectedUntilNs[it.key] ?: 0L) > clock.steadyNs() }
+
+    /** A defect: whoever writes what is too large must split it. Its keys are left alone for a while, not retried. */
     private fun reject(transaction: Transaction, fault: String) {
-        log.error("keys={} can't be written: {}", transaction.changes.map { it.key }, fault)
+        log.error("event=transaction_rejected keys={} reason={}", transaction.changes.map { it.key }, fault)
         if (rejectedUntilNs.size > MAX_REJECTED) rejectedUntilNs.clear()
         val untilNs = clock.steadyNs() + (settings.workers.cancelS * NANOS_PER_SECOND).toLong()
         for (change in transaction.changes) rejectedUntilNs[change.key] = untilNs
     }
 
     private fun settle(transaction: Transaction, outcome: TransactionOutcome) {
-        val until = when (outcome) {
+        val knownRevision = when (outcome) {
             is TransactionOutcome.Committed -> outcome.revision
             is TransactionOutcome.Conflict -> outcome.revision
-            // Whatever comes of it, its conditions hold it to the versions we knew: deciding again is safe.
+            // Whatever comes of it, its conditions hold it to the versions of this view: deciding again is safe.
             is TransactionOutcome.Refused, is TransactionOutcome.Unknown -> null
         }
         stats.addOutcome(outcome)
-        if (until != null) contact.noteResponse()
+        if (knownRevision != null) contact.noteResponse()
         for (change in transaction.changes) {
-            if (until == null || until <= view.revision) pending.remove(change.key) else pending[change.key] = until
+            if (knownRevision == null || knownRevision <= view.revision) {
+                pending.remove(change.key)
+            } else {
+                pending[change.key] = knownRevision
+            }
         }
         decisions.request()
     }
--- a/src/main/kotlin/flaxfield/membership/ShardOwnership.kt
+++ b/src/main/kotlin/flaxfield/membership/ShardOwnership.kt
@@ -5,7 +5,9 @@
 
 /**
  * Which member owns which machine under the assignment in [view], and which machines this process owns. Cached for as
- * long as a term lasts: a hash over every machine at each turn costs too much.
+ * long as a term lasts, since hashing every machine's name in each round costs too much. Owned by the owner thread.
+ *
+ * @param zones how many zones the deployment has
  */
 class ShardOwnership(private val view: ClusterView, private val self: Member, private val zones: Int) {
     private val owners = HashMap<String, String?>()
@@ -16,9 +18,7 @@
     /** The member whose shard [machineName], which lies in [zone], belongs to; null without an assignment. */
     fun owner(machineName: String, zone: String): String? {
         val assignment = view.assignment ?: return null
-        if (assignment.term != ownersTerm ||
-            owners.size > maxOf(OWNERS_KEPT, view.machines.size * OWNERS_PER_MACHINE)
-        ) {
+        if (assignment.term != ownersTerm || owners.size > maxOwners()) {
             owners.clear()
             ownersTerm = assignment.term
             ownedAtVersion = NEVER
@@ -41,15 +41,14 @@
         return owned
     }
 
+    /** Names of machines that the fleet does not know are dropped, with all others, beyond this many. */
+    private fun maxOwners(): Int = maxOf(MIN_OWNERS_KEPT, view.machines.size * OWNERS_PER_MACHINE)
+
     private companion object {
         const val NEVER = -1L
+        const val MIN_OWNERS_KEPT = 4_000
 
-        /** Names heard of and not known are forgotten with the rest at this many, */
-        const val OWNERS_KEPT = 4_000
-
-        /**
-         * or at this many for each known machine: below that the table was made anew at each look-up of a larger fleet.
-         */
+        /** More than one a machine, or the cache of a large fleet would be dropped at each look-up. */
         const val OWNERS_PER_MACHINE = 2
     }
 }
--- a/src/main/kotlin/flaxfield/store/TransactionSize.kt
+++ b/src/main/kotlin/flaxfield/store/TransactionSize.kt
@@ -3,48 +3,68 @@
 import flaxfield.BYTES_PER_KIB
 import flaxfield.settings.StateLimits
 
-/** Pure: whether the state service takes a transaction, counted as PROTOCOL-flaxfield.md counts: as JSON. */
+/**
+ * Whether the state service takes a transaction of this size, counted as PROTOCOL-flaxfield.md counts: as JSON. Pure;
+ * nothing is written to be measured.
+ */
 object TransactionSize {
-    private const val TXN_BYTES = 64 * BYTES_PER_KIB
-    private const val KEY_BYTES = 200
+    private const val MAX_TRANSACTION_BYTES = 64 * BYTES_PER_KIB
+    private const val MAX_KEY_BYTES = 200
 
-    /** Conditions may be four times as many as changes. */
-    private const val CONDITIONS = 4
+    /** Conditions may be this many times as many as changes. */
+    private const val CONDITIONS_PER_CHANGE = 4
 
     /** What the names and marks around one condition or change take. */
-    private const val AROUND = 40
-
-    /** Why [txn] would be refused at any time, or null. */
-    fun fault(txn: Transaction, limits: StateLimits): String? {
-        var total = txn.conditions.keys.sumOf { it.length + AROUND }
-        for (c in txn.changes) {
-            val size = if (c is Change.Put) json(c.value) else 0
-            if (size > limits.valueKb * BYTES_PER_KIB) return "value of ${c.key} takes $size bytes"
-            if (c.key.length > KEY_BYTES) return "key ${c.key} is too long"
-            total += size + c.key.length + AROUND
+    private const val OVERHEAD_BYTES = 40
+    private const val NULL_BYTES = 4
+    private const val TRUE_BYTES = 4
+    private const val FALSE_BYTES = 5
+
+    /** Brackets, braces or quotes. */
+    private const val ENCLOSING_BYTES = 2
+    private const val COMMA_BYTES = 1
+    private const val COLON_BYTES = 1
+
+    /** Characters that are written as they are. */
+    private val PLAIN_CODES = 0x20..0x7e
+    private const val PLAIN_BYTES = 1
+
+    /** The longest form of any other character, a `\u` escape. */
+    private const val ESCAPED_BYTES = 6
+
+    /** Why [transaction] would be refused at any time, or null. */
+    fun fault(transaction: Transaction, limits: StateLimits): String? {
+        var total = transaction.conditions.keys.sumOf { it.length + OVERHEAD_BYTES }
+        for (change in transaction.changes) {
+            val valueBytes = if (change is Change.Put) json(change.value) else 0
+            if (valueBytes > limits.valueKb * BYTES_PER_KIB) return "value of ${change.key} takes $valueBytes bytes"
+            if (change.key.length > MAX_KEY_BYTES) return "key ${change.key} is too long"
+            total += valueBytes + change.key.length + OVERHEAD_BYTES
         }
+        val changes = transaction.changes.size
+        val conditions = transaction.conditions.size
         return when {
-            txn.changes.size > limits.txnOps -> "${txn.changes.size} changes at once"
-            txn.conditions.size > limits.txnOps * CONDITIONS -> "${txn.conditions.size} conditions at once"
-            total > TXN_BYTES -> "$total bytes at once"
+            changes > limits.txnOps -> "$changes changes at once"
+            conditions > limits.txnOps * CONDITIONS_PER_CHANGE -> "$conditions conditions at once"
+            total > MAX_TRANSACTION_BYTES -> "$total bytes at once"
             else -> null
         }
     }
 
-    /** How long [value] is as JSON, without writing it. */
+    /** How many bytes [value] takes as JSON; an upper bound where text has to be escaped. */
     fun json(value: Any?): Int = when (value) {
-        null -> 4
-        is Map<*, *> -> 2 + value.entries.sumOf { (k, v) -> text(k.toString()) + json(v) + 2 }
-        is Collection<*> -> 2 + value.sumOf { json(it) + 1 }
+        null -> NULL_BYTES
+        is Map<*, *> ->
+            ENCLOSING_BYTES +
+                value.entries.sumOf { (key, item) -> text(key.toString()) + COLON_BYTES + json(item) + COMMA_BYTES }
+        is Collection<*> -> ENCLOSING_BYTES + value.sumOf { json(it) + COMMA_BYTES }
         is String -> text(value)
-        is Boolean -> if (value) 4 else 5
+        is Boolean -> if (value) TRUE_BYTES else FALSE_BYTES
         else -> value.toString().length
     }
 
-    /** Quotes included; characters outside ASCII and those that are escaped are counted at their longest. */
-    private fun text(s: String): Int =
-        2 + s.sumOf { c -> (if (c.code in PLAIN && c != '"' && c != '\\') 1 else ESCAPED).toInt() }
+    private fun text(text: String): Int = ENCLOSING_BYTES + text.sumOf { characterBytes(it) }
 
-    private val PLAIN = 0x20..0x7e
-    private const val ESCAPED = 6
+    private fun characterBytes(char: Char): Int =
+        if (char.code in PLAIN_CODES && char != '"' && char != '\\') PLAIN_BYTES else ESCAPED_BYTES
 }
--- a/src/main/kotlin/flaxfield/store/ViewObserver.kt
+++ b/src/main/kotlin/flaxfield/store/ViewObserver.kt
@@ -1,10 +1,10 @@
 package flaxfield.store
 
-/** Follows what the view takes in; called on the owner thread. */
+/** Follows the updates of a [ClusterView]; called on the owner thread. */
 interface ViewObserver {
     /** [item] has just been applied. */
     fun changed(item: KeyUpdate)
 
-    /** The view is read anew and holds nothing now. */
+    /** The view is listed anew and holds nothing now. */
     fun cleared()
 }
