--- /dev/null
+++ b/src/test/kotlin/flaxfield/sim/CancellationFaults.kt
@@ -0,0 +1,73 @@
+package flaxfield.sim
+
+/** Users who cancel their jobs at awkward times, together with the faults that make them so. */
+class CancellationFaults(
+    private val cluster: SimCluster,
+    private val schedule: FaultSchedule,
+    private val users: List<SimUser>,
+) {
+    private val random = cluster.loop.random
+
+    fun often() {
+        for (n in 0 until 9) cancelRunning(30.0 + 8 * n, 2.0, share = 0.15)
+    }
+
+    /**
+     * The state service refuses the leader alone, others confirm cancellations, then it is out for all for longer than
+     * a cancellation may take.
+     */
+    fun duringStoreGap() {
+        var leader = 0
+        schedule.at(50.0) {
+            leader = cluster.leader
+            cluster.store.refuse(leader, true)
+        }
+        cancelRunning(50.1, 0.8, share = 0.9)
+        schedule.during(51.0, cluster.cancelS * 1.5) { cluster.store.outage = it }
+        schedule.at(54.0) { cluster.store.refuse(leader, false) }
+    }
+
+    fun whileWorkersHang() {
+        for (fromS in doubleArrayOf(41.0, 72.0)) {
+            duringFaultOfFour(fromS, SimCluster.LEASE_S * 1.8) { worker, on -> worker.hung = on }
+            cancelRunning(fromS + 0.05, 0.2, share = 0.5)
+        }
+    }
+
+    /** Some workers reach nobody for a while and are reached by nobody. */
+    fun whileWorkersAreCut() {
+        for (fromS in doubleArrayOf(38.0, 69.0)) {
+            duringFaultOfFour(fromS, SimCluster.LEASE_S * 1.5) { worker, on ->
+                worker.outboundBlocked = on
+                worker.inboundBlocked = on
+            }
+            cancelRunning(fromS + 0.1, 1.0, share = 0.4)
+        }
+    }
+
+    private fun duringFaultOfFour(fromS: Double, durationS: Double, set: (SimWorker, Boolean) -> Unit) =
+        schedule.at(fromS) {
+            val healthy = cluster.cloud.workers.values.filter { it.healthyMachine() != null }
+            val victims = healthy.shuffled(random).take(4)
+            for (worker in victims) set(worker, true)
+            schedule.at(durationS) { for (worker in victims) set(worker, false) }
+        }
+
+    /** Half of the users cancel just as the last task of their job completes. */
+    fun asJobsComplete() {
+        cluster.invariants.onComplete = { id ->
+            if (random.nextInt(2) == 0) users.firstOrNull { it.spec.id == id }?.cancel()
+        }
+    }
+
+    /** Of the jobs that are known and not final, users cancel a [share] within [withinS]. */
+    private fun cancelRunning(atS: Double, withinS: Double, share: Double) = schedule.at(atS) {
+        val running = users.filter {
+            val phase = cluster.invariants.reportedPhase(it.spec.id)
+            phase != null && phase !in InvariantChecker.FINAL_PHASES
+        }
+        for (user in running) {
+            if (random.nextDouble() < share) schedule.at(random.nextDouble() * withinS) { user.cancel() }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/flaxfield/sim/ControllerFaults.kt
@@ -0,0 +1,60 @@
+package flaxfield.sim
+
+/** Faults of controllers' processes: ends, restarts, standstills and lack of processor time. */
+class ControllerFaults(private val cluster: SimCluster, private val schedule: FaultSchedule) {
+    private val random = cluster.loop.random
+    private val indices = cluster.controllerNames.indices
+
+    private fun randomController() = random.nextInt(indices.count())
+
+    fun killOften() {
+        for (n in 0 until 5) {
+            schedule.at(20.0 + 15 * n) { cluster.kill(randomController(), if (n % 2 == 0) 0.3 else 3.0) }
+        }
+    }
+
+    fun killAll() = schedule.at(45.0) { for (index in indices) cluster.kill(index, 2.0) }
+
+    /** All are away for more than a worker's lease, and then once more with one of them back at once. */
+    fun killAllForLong() {
+        schedule.at(45.0) {
+            for (index in indices) cluster.kill(index, SimCluster.LEASE_S * (if (index == 0) 1.3 else 3.0))
+        }
+        schedule.at(85.0) { for (index in indices) cluster.kill(index, if (index == 2) 0.3 else 9.0) }
+    }
+
+    fun killLeaders() {
+        for (n in 0 until 6) schedule.at(28.0 + 13 * n) { cluster.kill(cluster.leader, 5.0) }
+    }
+
+    fun killTenLeaders() {
+        for (n in 0 until 10) {
+            schedule.at(22.0 + 8.5 * n) { cluster.kill(cluster.leader, if (n % 3 == 0) 0.2 else 3.0) }
+        }
+    }
+
+    /** From the first rentals on: a leader ends while the machines that it rented come up. */
+    fun killLeadersEarly() {
+        for (n in 0 until 6) schedule.at(5.0 + 14 * n) { cluster.kill(cluster.leader, 2.0) }
+    }
+
+    /** Restarts within a fraction of a second, several in a row, and again while the others still elect. */
+    fun restartOften() {
+        for (n in 0 until 12) {
+            schedule.at(20.0 + 7 * n) {
+                for (index in indices) {
+                    if (random.nextInt(2) == 0) cluster.kill(index, 0.05 + 0.3 * random.nextDouble())
+                }
+            }
+        }
+        for (n in 0 until 6) schedule.at(21.5 + 14 * n) { cluster.kill(randomController(), 0.1) }
+    }
+
+    fun freezeSome() {
+        for (n in 0 until 3) schedule.at(26.0 + 25 * n) { cluster.freeze(randomController(), 8.0 + 2 * n) }
+    }
+
+    fun slowDown() {
+        for (processor in cluster.processors) schedule.during(15.0, 95.0) { processor.slow = it }
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/flaxfield/sim/SimCloud.kt
@@ -0,0 +1,151 @@
+package flaxfield.sim
+
+import flaxfield.codec.Cbor
+import flaxfield.codec.FieldMap
+import flaxfield.jobs.Resources
+import flaxfield.net.Response
+
+/**
+ * A stand-in for the cloud: rents machines of one type and takes them back, limits the rate of requests, and lists its
+ * machines as they were [lagS] ago. [capacity] is how many machines of each kind a zone has; [createWorker] makes the
+ * worker of a new machine, which the cloud starts when the machine has booted.
+ */
+class SimCloud(
+    private val loop: SimLoop,
+    private val capacity: Map<String, Int>,
+    private val lagS: Double,
+    private val createWorker: (SimMachine) -> SimWorker,
+) {
+    /** A list of the machines at one time, as the wire has it. */
+    private class Snapshot(val atS: Double, val machines: List<Map<String, Any?>>)
+
+    /** The workers of all machines that are rented now, by the machine's name. */
+    val workers = LinkedHashMap<String, SimWorker>()
+    private val machineTypes = listOf(
+        mapOf(
+            "label" to "big",
+            "vcpus" to MACHINE_RESOURCES.cpus,
+            "accelerators" to MACHINE_RESOURCES.gpus,
+            "ram_gb" to MACHINE_RESOURCES.ram,
+            "local_gb" to 100.0,
+            "pull_gb_per_s" to 4.0,
+            "rate" to 8.0,
+            "low_price" to 3.0,
+            "ready_s" to 4.0,
+            "sites" to capacity.keys.sorted(),
+        ),
+    )
+
+    /** The machines of each rental, by its idempotency key. */
+    private val rentals = HashMap<String, List<String>>()
+    private val snapshots = ArrayList<Snapshot>()
+
+    /** How many machines were ever rented. */
+    var machinesRented = 0
+        private set
+
+    /** Told of each return, in the order in which its machines are named, before they are gone. */
+    var onReturn: (List<SimMachine>) -> Unit = {}
+
+    /** What boots take of their usual time. */
+    var bootFactor = 1.0
+
+    /** The share of machines that never come up. */
+    var bootFailureRate = 0.0
+
+    /** Requests refused since they came faster than the cloud takes them. */
+    var refused = 0
+        private set
+
+    /** All requests. */
+    var served = 0
+        private set
+    private val requestRate = SimRateLimit(loop, RPS, RPS * BURST_S)
+
+    /** Machines that are up and healthy. */
+    fun healthyMachines(): List<HealthyMachine> = workers.values.mapNotNull { it.healthyMachine() }
+
+    fun serve(method: String, target: String, body: ByteArray, answer: (Response) -> Unit) {
+        served++
+        if (!requestRate.take(1)) {
+            refused++
+            return answer(response(TOO_MANY_REQUESTS, emptyMap()))
+        }
+        when {
+            target == "/flavors" -> answer(response(OK, mapOf("flavors" to machineTypes)))
+            target == "/machines" && method == "POST" -> answer(rent(Cbor.decode(body)))
+            target == "/machines/return" -> answer(takeBack(Cbor.decode(body).textList("hosts").orEmpty()))
+            else -> {
+                recordMachines()
+                answer(list(target))
+            }
+        }
+    }
+
+    private fun rent(request: FieldMap): Response {
+        val rental = request.requireText("hire")
+        rentals[rental]?.let { return response(OK, mapOf("hosts" to it)) }
+        val unnamed = SimMachine(
+            "",
+            request.requireText("flavor"),
+            request.requireText("site"),
+            request.requireBoolean("lendable"),
+        )
+        val held = workers.values.count { it.machine.copy(machineName = "") == unnamed }
+        val count = minOf(request.requireInt("how_many"), (capacity[unnamed.zone] ?: 0) - held)
+        if (count <= 0) return response(UNAVAILABLE, mapOf("error" to "no capacity"))
+        val names = (0 until count).map { "host-%06d".format(machinesRented++) }
+        for (name in names) boot(unnamed.copy(machineName = name))
+        rentals[rental] = names
+        return response(OK, mapOf("hosts" to names))
+    }
+
+    private fun boot(machine: SimMachine) {
+        val worker = createWorker(machine)
+        workers[machine.machineName] = worker
+        if (bootFailureRate > 0 && loop.random.nextDouble() < bootFailureRate) return
+        val bootS = loop.random.nextDouble(MIN_BOOT_S, MAX_BOOT_S) * bootFactor
+        loop.after((bootS * SimLoop.SECOND).toLong()) { if (!worker.terminated) worker.start() }
+    }
+
+    private fun takeBack(names: List<String>): Response {
+        onReturn(names.mapNotNull { workers[it]?.machine })
+        for (name in names) workers.remove(name)?.terminate()
+        return response(OK, emptyMap())
+    }
+
+    private fun list(target: String): Response {
+        val query = parseQuery(target)
+        val from = query["from"].orEmpty()
+        val seen = snapshots.lastOrNull { it.atS <= loop.nowS - lagS }?.machines.orEmpty()
+        val after = seen.filter { it.getValue("id").toString() > from }.sortedBy { it.getValue("id").toString() }
+        val limit = (query["limit"]?.toInt() ?: PAGE_SIZE).coerceAtMost(PAGE_SIZE)
+        return response(OK, mapOf("hosts" to after.take(limit), "more" to (after.size > limit)))
+    }
+
+    /** Keeps the present machines for lists that are asked for later; called by lists and by the clock. */
+    fun recordMachines() {
+        snapshots += Snapshot(
+            loop.nowS,
+            workers.values.map { mapOf("id" to it.machine.machineName, "phase" to "running", "held_s" to 1.0) },
+        )
+        if (snapshots.size > MAX_SNAPSHOTS) snapshots.removeAt(0)
+    }
+
+    private fun response(status: Int, body: Map<String, Any?>) = Response(status, Cbor.encode(body))
+
+    companion object {
+        private const val MAX_SNAPSHOTS = 500
+
+        /** The cloud's limit of requests a second, and how many seconds' worth may come at once. */
+        const val RPS = 2.0
+        private const val BURST_S = 2
+        private const val PAGE_SIZE = 500
+        private const val MIN_BOOT_S = 1.0
+        private const val MAX_BOOT_S = 6.0
+        private const val OK = 200
+        private const val TOO_MANY_REQUESTS = 429
+        private const val UNAVAILABLE = 503
+        val MACHINE_RESOURCES = Resources(16.0, 4.0, 64.0)
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/flaxfield/sim/SimTaskRunner.kt
@@ -0,0 +1,190 @@
+package flaxfield.sim
+
+import flaxfield.codec.FieldMap
+import flaxfield.jobs.JobCodec
+import flaxfield.jobs.JobKind
+import flaxfield.jobs.JobSpec
+import flaxfield.jobs.Resources
+
+/** What the tasks of all simulated workers share. */
+class SimWorkload(val invariants: InvariantChecker, val specs: Map<String, JobSpec>, val gangs: GangRegistry)
+
+/**
+ * The tasks of one simulated worker, and what becomes of them in simulated time. Tells the [workload]'s invariant
+ * checker of all that happens to them, and [onChange] of each change that the next heartbeat should report.
+ */
+class SimTaskRunner(
+    private val loop: SimLoop,
+    private val machine: SimMachine,
+    private val resources: Resources,
+    private val workload: SimWorkload,
+    private val gangWaitS: Double,
+    private val onChange: () -> Unit,
+) {
+    private val invariants = workload.invariants
+    private val gangs = workload.gangs
+    private val tasks = LinkedHashMap<AttemptKey, SimTask>()
+
+    /** Whether every task that starts here fails. */
+    var failsTasks = false
+
+    val hasLiveTasks: Boolean get() = tasks.values.any { it.isLive }
+
+    val freeResources: Resources get() = freeBeside(tasks.values.filter { it.isLive })
+
+    private fun freeBeside(live: List<SimTask>): Resources =
+        live.fold(resources) { free, task -> free - task.spec.taskResources }
+
+    /** The tasks as the wire has them in a heartbeat. */
+    fun report(): List<Map<String, Any?>> = tasks.values.map {
+        mapOf(
+            "shard" to JobCodec.taskName(it.spec.id, it.index),
+            "try" to it.attempt,
+            "phase" to it.state.wireName,
+            "cause" to it.end?.wireName,
+        )
+    }
+
+    /** Carries out the commands of a controller's message. */
+    fun execute(message: FieldMap) {
+        for (order in message.mapList("orders")) {
+            val (id, index) = JobCodec.parseTaskId(order.requireText("shard")) ?: continue
+            val key = AttemptKey(TaskKey(id, index), order.requireUnsigned("try").toLong())
+            when (order.text("verb")) {
+                "launch" -> launch(key)
+                "halt" -> tasks[key]?.let { halt(it, order.requireNumber("wind_down_s")) }
+                "clear" -> if (tasks[key]?.isLive == false) tasks.remove(key)
+            }
+        }
+    }
+
+    /** All tasks are gone at once, with what they had not saved. */
+    fun dropAll() {
+        for (task in tasks.values.toList()) leaveMachine(task)
+        tasks.clear()
+    }
+
+    /** Lets [stepS] go by for every task. */
+    fun advance(stepS: Double) {
+        for (task in tasks.values.toList()) advance(task, stepS)
+    }
+
+    private fun advance(task: SimTask, stepS: Double) {
+        val fails = failsTasks || task.spec.id in invariants.failingJobs
+        task.remainingS -= stepS
+        when (task.state) {
+            SimTaskState.PULLING -> if (task.remainingS <= 0) start(task, fails)
+            SimTaskState.WAITING_FOR_GANG -> waitForGang(task, fails)
+            SimTaskState.RUNNING -> run(task, fails)
+            SimTaskState.CHECKPOINTING -> if (task.remainingS <= 0) end(task, SimTaskEnd.STOPPED)
+            SimTaskState.ENDED -> Unit
+        }
+    }
+
+    private fun start(task: SimTask, fails: Boolean) {
+        invariants.taskStarted(task.spec.id, task.index, machine, loop.nowS)
+        onChange()
+        // A checkpoint is outside the machine: the task goes on from it anywhere.
+        task.remainingS = if (fails) FAILURE_S else invariants.savedRemainingS[task.key] ?: task.spec.expectedRuntimeS
+        if (task.spec.jobKind == JobKind.GANG) {
+            task.state = SimTaskState.WAITING_FOR_GANG
+            gangs.join(task)
+            if (!fails) task.remainingS = gangWaitS
+        } else {
+            task.state = SimTaskState.RUNNING
+            invariants.watcher?.runs(task.spec, task.index)
+        }
+    }
+
+    private fun waitForGang(task: SimTask, fails: Boolean) {
+        when {
+            fails && task.remainingS <= 0 -> end(task, SimTaskEnd.ERROR)
+            gangs.isComplete(task) -> {
+                task.state = SimTaskState.RUNNING
+                invariants.watcher?.runs(task.spec, task.index)
+                task.remainingS = task.spec.expectedRuntimeS
+                gangs.markStarted(task)
+            }
+            gangs.hasStarted(task) -> end(task, SimTaskEnd.GANG_MEMBER_LOST)
+            task.remainingS <= 0 -> end(task, SimTaskEnd.GANG_INCOMPLETE)
+        }
+    }
+
+    private fun run(task: SimTask, fails: Boolean) {
+        val isGang = task.spec.jobKind == JobKind.GANG
+        when {
+            isGang && gangs.lacksMembers(task) && task.remainingS > 0 ->
+                if (gangs.hasCompleted(task)) complete(task) else end(task, SimTaskEnd.GANG_MEMBER_LOST)
+            task.remainingS <= 0 -> if (fails) end(task, SimTaskEnd.ERROR) else complete(task)
+        }
+    }
+
+    private fun complete(task: SimTask) {
+        invariants.watcher?.done(task.spec, task.index)
+        if (task.spec.jobKind == JobKind.GANG) {
+            gangs.markCompleted(task)
+            for (index in 0 until task.spec.taskCount) invariants.taskCompleted(task.spec.id, index)
+        } else {
+            invariants.taskCompleted(task.spec.id, task.index)
+        }
+        end(task, SimTaskEnd.DONE)
+    }
+
+    private fun end(task: SimTask, end: SimTaskEnd) {
+        leaveMachine(task)
+        task.state = SimTaskState.ENDED
+        task.end = end
+        onChange()
+    }
+
+    private fun leaveMachine(task: SimTask) {
+        if (task.isLive) invariants.watcher?.left(task.spec, task.index)
+        if (task.isLive && task.state != SimTaskState.PULLING) {
+            invariants.taskLeft(task.spec.id, task.index, machine.machineName)
+        }
+        gangs.leave(task)
+    }
+
+    private fun launch(key: AttemptKey) {
+        if (key in tasks) return
+        invariants.launchOrdered(key.task.jobId, key.task.index, loop.nowS)
+        val spec = workload.specs.getValue(key.task.jobId)
+        val task = SimTask(spec, key.task.index, key.attempt)
+        val live = tasks.values.filter { it.isLive }
+        tasks[key] = task
+        onChange()
+        task.remainingS = loop.random.nextDouble(MIN_PULL_S, MAX_PULL_S)
+        if (live.any { it.key == task.key }) {
+            refuse(task, SimTaskEnd.ALREADY_RUNNING)
+        } else if (!freeBeside(live).canHold(spec.taskResources)) {
+            refuse(task, SimTaskEnd.NO_RESOURCES)
+            invariants.refusedStarts++
+        }
+    }
+
+    private fun refuse(task: SimTask, end: SimTaskEnd) {
+        task.state = SimTaskState.ENDED
+        task.end = end
+    }
+
+    private fun halt(task: SimTask, gracePeriodS: Double) {
+        if (!task.isLive) return
+        val spec = task.spec
+        invariants.watcher?.halted(spec, task.index, gracePeriodS)
+        val savesInTime = spec.checkpointIntervalS > 0 && gracePeriodS >= spec.checkpointDurationS
+        if (task.state == SimTaskState.RUNNING && savesInTime) {
+            if (spec.jobKind != JobKind.GANG) invariants.savedRemainingS[task.key] = task.remainingS
+            task.state = SimTaskState.CHECKPOINTING
+            task.remainingS = spec.checkpointDurationS
+        } else if (task.state != SimTaskState.CHECKPOINTING || gracePeriodS == 0.0) {
+            end(task, SimTaskEnd.STOPPED)
+        }
+    }
+
+    private companion object {
+        /** How long a task runs that fails. */
+        const val FAILURE_S = 0.5
+        const val MIN_PULL_S = 0.5
+        const val MAX_PULL_S = 2.0
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/flaxfield/sim/SimTransports.kt
@@ -0,0 +1,78 @@
+package flaxfield.sim
+
+import flaxfield.codec.Cbor
+import flaxfield.controller.ControllerTransports
+import flaxfield.net.HttpTransport
+import flaxfield.net.Response
+import flaxfield.peers.PeerConnection
+import flaxfield.peers.PeerFrames
+import flaxfield.peers.PeerMessage
+import flaxfield.settings.Address
+
+/** The transports of simulated controllers: to the state service, the cloud, the workers and one another. */
+class SimTransports(
+    private val loop: SimLoop,
+    private val controllerNames: List<String>,
+    private val network: SimNetwork,
+    private val store: SimStore,
+    private val cloud: SimCloud,
+    private val controller: (Int) -> SimController,
+) {
+    private val recorder = SimRecorder.current
+
+    /** Those of a process of the controller [index], which get answers only as long as it is [alive]. */
+    fun of(index: Int, alive: () -> Boolean) = ControllerTransports(
+        storeTransport(index, alive),
+        storeTransport(index, alive),
+        recorded(SimChannel.CLOUD, controllerNames[index], network.cloudLinks[index].transport(alive, cloud::serve)),
+        { address -> commandTransport(index, address, alive) },
+        { address, onMessage ->
+            PeerConnection { message -> sendToPeer(index, address, message) { if (alive()) onMessage(it) } }
+        },
+    )
+
+    private fun storeTransport(index: Int, alive: () -> Boolean): HttpTransport {
+        val transport = network.storeLinks[index].transport(alive) { method, target, body, answer ->
+            store.serve(index, method, target, body, answer)
+        }
+        return recorded(SimChannel.STATE, controllerNames[index], transport)
+    }
+
+    private fun commandTransport(index: Int, address: Address, alive: () -> Boolean): HttpTransport {
+        val transport = network.workerLinks[index].transport(alive) { _, _, body, answer ->
+            if (!network.workerConnectionsCut[index]) command(index, address, body, answer)
+        }
+        return recorded(SimChannel.COMMAND, "${controllerNames[index]} ${address.host}:${address.port}", transport)
+    }
+
+    private fun command(from: Int, address: Address, body: ByteArray, answer: (Response) -> Unit) {
+        val worker = cloud.workers["host-%06d".format(address.port - 1)] ?: return
+        if (worker.inboundBlocked || network.isCutBetween(worker.machine.zone, from)) return
+        val command = Cbor.decode(body)
+        if (worker.hung) worker.hold(command) else answer(worker.execute(command))
+    }
+
+    private fun sendToPeer(from: Int, address: Address, message: PeerMessage, reply: (PeerMessage) -> Unit) {
+        val to = address.host.substringAfterLast('.').toInt() - 1
+        val target = "${controllerNames[from]} ${controllerNames[to]}"
+        recorder?.sent(loop.nowNs, SimChannel.PEER, target, PeerFrames.encode(message))
+        loop.after(PEER_HOP_NS) {
+            if (network.connectsPeers(from, to)) {
+                controller(to).handle(message) { answer -> loop.after(PEER_HOP_NS) { reply(answer) } }
+            }
+        }
+    }
+
+    /** [transport] of [sender], each request of which the recorder is told first. */
+    private fun recorded(channel: SimChannel, sender: String, transport: HttpTransport): HttpTransport {
+        val recorder = recorder ?: return transport
+        return HttpTransport { method, path, body, timeoutMs, done ->
+            recorder.sent(loop.nowNs, channel, "$sender $method $path $timeoutMs", body ?: ByteArray(0))
+            transport.send(method, path, body, timeoutMs, done)
+        }
+    }
+
+    private companion object {
+        const val PEER_HOP_NS = 2 * SimLoop.MS
+    }
+}
