--- a/src/main/kotlin/flaxfield/drain/OrderWriter.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderWriter.kt
@@ -19,7 +19,12 @@
         value: Map<String, Any?>,
         done: (OrderResult<Unit>) -> Unit,
     ) {
-        if (context.storeContact.isSilent(context.settings.workers.leaseS)) return done(unavailable("the state service does not answer"))
+        if (context.storeContact.isSilent(
+                context.settings.workers.leaseS,
+            )
+        ) {
+            return done(unavailable("the state service does not answer"))
+        }
         if (context.transactions.isWritePending(key)) return done(unavailable("$subject is just being changed"))
         val transaction = Transaction(mapOf(key to version), listOf(Change.Put(key, value)))
         val sent = context.transactions.submit(WriteCause.FLEET, transaction) { outcome ->
--- a/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
+++ b/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
@@ -105,7 +105,12 @@
             next = withFleetRecord(item)
         } catch (fault: RuntimeException) {
             // A record that can't be decoded must not stop the view: the snapshot goes on without the change.
-            log.error("event=record_unreadable key={} version={} reason=\"{}\"", item.key, item.version, fault.toString())
+            log.error(
+                "event=record_unreadable key={} version={} reason=\"{}\"",
+                item.key,
+                item.version,
+                fault.toString(),
+            )
         }
     }
 
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -60,7 +60,17 @@
     fun listMachines(from: String?, done: (MachineListPage?) -> Unit) {
         val start = if (from == null) "" else "from=$from&"
         http.send("GET", "/machines?${start}limit=$PAGE_SIZE", null, timeoutMs) { response ->
-            done(decodeOr(null) { if (response?.status == HttpStatus.OK) decodePage(Cbor.decode(response.body)) else null })
+            done(
+                decodeOr(null) {
+                    if (response?.status ==
+                        HttpStatus.OK
+                    ) {
+                        decodePage(Cbor.decode(response.body))
+                    } else {
+                        null
+                    }
+                },
+            )
         }
     }
 
--- a/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
@@ -1,10 +1,10 @@
 package flaxfield.drain
 
 import flaxfield.Samples
+import flaxfield.jobs.JobKind
 import flaxfield.jobs.JobSpec
 import flaxfield.jobs.Priority
 import flaxfield.jobs.Resources
-import flaxfield.jobs.JobKind
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
 import org.junit.jupiter.api.Assertions.assertTrue
