--- a/src/main/kotlin/flaxfield/fleet/CapacityDemand.kt
+++ b/src/main/kotlin/flaxfield/fleet/CapacityDemand.kt
@@ -2,7 +2,7 @@
 
 import flaxfield.jobs.JobSpec
 
-/** A demand for the capacity to run [tasks] more tasks like those of [spec], which are pending or expected. */
+/** A demand for the capacity to run [tasks] more pending or expected tasks like those of [spec]. */
 data class CapacityDemand(
     val spec: JobSpec,
     val tasks: Int,
--- a/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
@@ -21,7 +21,10 @@
     /** Records newly arrived jobs. Called at every tick, on followers as well. */
     fun recordArrivals() = arrivals.record(context.nowMs)
 
-    /** Returns the demands by precedence: pending tasks in scheduling order, the subsystem's, spare capacity. */
+    /**
+     * Returns the demands by precedence: those of pending tasks in scheduling order, those of the subsystem, and those
+     * for spare capacity.
+     */
     fun demands(): List<CapacityDemand> =
         DemandMerger.merge(waitingDemands()) + context.subsystem?.demands().orEmpty() + spareDemands()
 
@@ -129,7 +132,7 @@
         /** A job is urgent once it is older than its longest objective times this factor. */
         const val URGENT_AGE_FACTOR = 2.0
 
-        /** The lower factor for a job that there are no spot machines for. */
+        /** The factor for a job without suitable spot machines. */
         const val URGENT_AGE_FACTOR_WITHOUT_SPOT = 0.2
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -8,7 +8,7 @@
 
 /** A client of the cloud API. Callbacks run on the event loop, not on the owner thread. */
 class CloudClient(private val http: HttpTransport, private val timeoutMs: Long) {
-    /** Fetches the machine types by label; [done] gets null if there is no usable response. */
+    /** Fetches the machine types by label; passes null to [done] if there is no usable response. */
     fun machineTypes(done: (Map<String, MachineType>?) -> Unit) {
         http.send("GET", "/flavors", null, timeoutMs) { response ->
             done(
@@ -49,14 +49,17 @@
         return if (lacksCapacity) RentalResponse.NoCapacity else RentalResponse.Unclear
     }
 
-    /** Returns machines to the cloud; [done] gets true once they are terminated with everything that ran on them. */
+    /** Returns machines to the cloud; passes true to [done] once they and all tasks on them are terminated. */
     fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) {
         http.send("POST", "/machines/return", Cbor.encode(mapOf("hosts" to machineNames)), timeoutMs) {
             done(it?.status == HttpStatus.OK)
         }
     }
 
-    /** Lists the machines after [from], or the first ones if it is null; [done] gets null without a usable response. */
+    /**
+     * Lists the machines after the one named [from], or the first ones if it is null. Passes null to [done] if there is
+     * no usable response.
+     */
     fun listMachines(from: String?, done: (MachineListPage?) -> Unit) {
         val start = if (from == null) "" else "from=$from&"
         http.send("GET", "/machines?${start}limit=$PAGE_SIZE", null, timeoutMs) { response ->
@@ -84,7 +87,7 @@
     private companion object {
         const val PAGE_SIZE = 500
 
-        /** The listed phase of a machine that terminated on its own. */
+        /** The listed phase of a machine that terminated on its own, without being returned. */
         const val FAILED_PHASE = "failed"
     }
 }
--- a/src/test/kotlin/flaxfield/fleet/OrphanedMachinesTest.kt
+++ b/src/test/kotlin/flaxfield/fleet/OrphanedMachinesTest.kt
@@ -5,7 +5,7 @@
 
 class OrphanedMachinesTest {
     @Test
-    fun `returns only listed machines that have no record and had none before the given time`() {
+    fun `returns only machines that have been listed without a record since before the given time`() {
         val orphaned = OrphanedMachines()
         orphaned.update(listOf("h1", "h2", "h3"), known = setOf("h3"), nowNs = 10)
         orphaned.update(listOf("h1", "h2", "h4"), known = setOf("h3"), nowNs = 20)
