--- a/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
+++ b/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
@@ -17,10 +17,8 @@
     private val direct: DirectCommandSender,
 ) {
     private val heartbeatIntervalNs = context.settings.workers.heartbeatIntervalS * NANOS_PER_SECOND
-    private val heartbeatOverdueNs = (
-        context.settings.workers.heartbeatIntervalS * OVERDUE_HEARTBEAT_INTERVALS *
-            NANOS_PER_SECOND
-        ).toLong()
+    private val heartbeatOverdueNs =
+        (context.settings.workers.heartbeatIntervalS * OVERDUE_HEARTBEAT_INTERVALS * NANOS_PER_SECOND).toLong()
 
     /**
      * Stops the checkpointing tasks on a machine that the cloud is about to terminate, so that they resume elsewhere. A
--- a/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
@@ -136,8 +136,8 @@
             heartbeat.incarnation > placed.incarnation ->
                 lost(record, heartbeat, "tenure ${heartbeat.incarnation}", outcomeUnknown = true)
             heartbeat.incarnation < placed.incarnation || !mustEnd(record) -> null
-            // The worker rejects launches of earlier terms by now, and those of this term were delivered or lost before
-            // this heartbeat was sent, so the task is not on the machine.
+            // A worker that knows the current term rejects launches of earlier terms. Launches of the current term were
+            // delivered or lost before this heartbeat was sent, so the task is not on the machine.
             heartbeat.fencingToken == term -> lost(record, heartbeat, "absent", outcomeUnknown = false)
             else -> null
         }
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -168,7 +168,7 @@
         for (workerState in workerStates.values) workerState.termPushedNs = 0
     }
 
-    /** Discounts a pause of this process for [gapNs], during which it could not receive heartbeats. */
+    /** Excludes a pause of this process from the age of all heartbeats: none could arrive for [gapNs]. */
     fun onProcessPause(gapNs: Long) {
         if (ownerSinceNs != 0L) ownerSinceNs += gapNs
         for (workerState in workerStates.values) {
--- a/src/test/kotlin/flaxfield/membership/MemberRulesTest.kt
+++ b/src/test/kotlin/flaxfield/membership/MemberRulesTest.kt
@@ -37,7 +37,11 @@
                 MemberRules.nextStep(a, listOf(a), a, assignment(b, a)),
                 MemberStep.Assign(listOf(a)),
             ),
-            Triple("a member was removed", MemberRules.nextStep(a, listOf(a), a, assignment(a, a, b)), MemberStep.Assign(listOf(a))),
+            Triple(
+                "a member was removed",
+                MemberRules.nextStep(a, listOf(a), a, assignment(a, a, b)),
+                MemberStep.Assign(listOf(a)),
+            ),
             Triple(
                 "a member was restarted",
                 MemberRules.nextStep(a, listOf(a, b.copy(incarnation = "2")), a, assignment(a, a, b)),
--- a/src/test/kotlin/flaxfield/workers/HaltTrackerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HaltTrackerTest.kt
@@ -22,7 +22,11 @@
         val halt = WorkerCommand.Halt("job-1", 0, 1uL, 0.0)
         val other = WorkerCommand.Halt("job-1", 1, 1uL, 0.0)
         val table = listOf(
-            Triple("task ended after one halt", listOf(heartbeat(1) to listOf(halt), heartbeat(2) to emptyList()), false),
+            Triple(
+                "task ended after one halt",
+                listOf(heartbeat(1) to listOf(halt), heartbeat(2) to emptyList()),
+                false,
+            ),
             Triple("two responses lost", (1..3).map { heartbeat(it) to listOf(halt) }, false),
             Triple("halts without effect", (1..4).map { heartbeat(it) to listOf(halt) }, true),
             Triple(
--- a/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
@@ -34,7 +34,14 @@
     // Two zones, each with one of the two controllers: a machine's zone determines its owner.
     private val settings = Samples.settings().copy(zones = 2)
     private val context =
-        ControllerContext(settings, OperatorSettings(), self, clock, StoreClient(noResponse, noResponse, 1), replica.view) {
+        ControllerContext(
+            settings,
+            OperatorSettings(),
+            self,
+            clock,
+            StoreClient(noResponse, noResponse, 1),
+            replica.view,
+        ) {
             it()
         }
     private val workerHealth = WorkerHealth(context)
@@ -88,7 +95,7 @@
             "it returns soon because its owner does not respond, so its lease is renewed here",
         )
         nowS += 60.0
-        assertEquals("421 n-1", response("b", fencingToken = 3), "the view is too old to renew the lease: redirected to the owner")
+        assertEquals("421 n-1", response("b", fencingToken = 3), "redirected: the view is too old to renew the lease")
     }
 
     @Test
--- a/src/test/kotlin/flaxfield/workers/HeartbeatReconcilerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatReconcilerTest.kt
@@ -187,9 +187,17 @@
                 directHalts(cancelled, heartbeat(), heartbeatOverdue = false),
                 emptyList(),
             ),
-            Triple("not reported, heartbeat overdue", directHalts(cancelled, heartbeat(), heartbeatOverdue = true), listOf(halt)),
+            Triple(
+                "not reported, heartbeat overdue",
+                directHalts(cancelled, heartbeat(), heartbeatOverdue = true),
+                listOf(halt),
+            ),
             Triple("no heartbeat received", directHalts(cancelled, null, heartbeatOverdue = true), listOf(halt)),
-            Triple("ended", directHalts(cancelled, heartbeat(task(TaskState.ENDED, EndCause.DONE)), heartbeatOverdue = true), emptyList()),
+            Triple(
+                "ended",
+                directHalts(cancelled, heartbeat(task(TaskState.ENDED, EndCause.DONE)), heartbeatOverdue = true),
+                emptyList(),
+            ),
             Triple(
                 "stopping",
                 directHalts(stopping, heartbeat(running), heartbeatOverdue = false),
@@ -200,8 +208,16 @@
                 directHalts(stopping, heartbeat(running), heartbeatOverdue = false, mayStop = false),
                 emptyList(),
             ),
-            Triple("stopping, no heartbeat received", directHalts(stopping, null, heartbeatOverdue = true), emptyList()),
-            Triple("neither cancelled nor stopping", directHalts(job, heartbeat(running), heartbeatOverdue = true), emptyList()),
+            Triple(
+                "stopping, no heartbeat received",
+                directHalts(stopping, null, heartbeatOverdue = true),
+                emptyList(),
+            ),
+            Triple(
+                "neither cancelled nor stopping",
+                directHalts(job, heartbeat(running), heartbeatOverdue = true),
+                emptyList(),
+            ),
         )
         for ((case, actual, expected) in table) assertEquals(expected, actual, case)
     }
--- a/src/test/kotlin/flaxfield/workers/LeaseRenewalPolicyTest.kt
+++ b/src/test/kotlin/flaxfield/workers/LeaseRenewalPolicyTest.kt
@@ -17,7 +17,10 @@
                 for (cancel in listOf(lease + heartbeat * 1.5, lease * 1.3 + heartbeat * 1.5, lease * 2, lease * 4)) {
                     val maxViewAge = LeaseRenewalPolicy(times(heartbeat, lease, cancel)).maxViewAgeS
                     val worstCase = maxViewAge * 1.0005 + lease * 1.0005
-                    assertTrue(worstCase < cancel, "heartbeat=$heartbeat lease=$lease cancel=$cancel: maxViewAge=$maxViewAge, $worstCase")
+                    assertTrue(
+                        worstCase < cancel,
+                        "heartbeat=$heartbeat lease=$lease cancel=$cancel: maxViewAge=$maxViewAge, $worstCase",
+                    )
                 }
             }
         }
--- a/src/test/kotlin/flaxfield/workers/ResponseReachabilityTest.kt
+++ b/src/test/kotlin/flaxfield/workers/ResponseReachabilityTest.kt
@@ -30,7 +30,11 @@
     @Test
     fun `counts consecutive responses without effect`() {
         val table = listOf(
-            Triple("the launch takes effect", listOf(heartbeat(), heartbeat(hasTask = true), heartbeat(hasTask = true)), 0),
+            Triple(
+                "the launch takes effect",
+                listOf(heartbeat(), heartbeat(hasTask = true), heartbeat(hasTask = true)),
+                0,
+            ),
             Triple("one response was lost", listOf(heartbeat(), heartbeat(), heartbeat(hasTask = true)), 0),
             Triple("no launch takes effect", List(3) { heartbeat() }, 2),
             Triple("the fencing token does not advance", List(5) { heartbeat(fencingToken = 6) }, 4),
@@ -46,7 +50,10 @@
         // leases, each time from a newer incarnation, which proves the loss of its tasks.
         assertEquals(
             4,
-            missedResponses(listOf(heartbeat(), heartbeat(incarnation = 3), heartbeat(incarnation = 5)), intervalS = 30.0),
+            missedResponses(
+                listOf(heartbeat(), heartbeat(incarnation = 3), heartbeat(incarnation = 5)),
+                intervalS = 30.0,
+            ),
         )
         // The partition is over: the worker gets responses again, and its incarnation lasts.
         assertEquals(
@@ -64,7 +71,8 @@
 
     @Test
     fun `a new term resets the count`() {
-        val reachability = ResponseReachability().afterResponse(heartbeat(), 7uL, listOf(launch), 1).copy(missedResponses = 3)
+        val reachability =
+            ResponseReachability().afterResponse(heartbeat(), 7uL, listOf(launch), 1).copy(missedResponses = 3)
         assertEquals(0, reachability.afterHeartbeat(heartbeat(fencingToken = 7), 8uL, 2, leaseNs).missedResponses)
     }
 }
--- a/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
+++ b/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
@@ -83,9 +83,9 @@
             TaskEvent.Lost(job, 0, 1, machineName, "error", true),
             workerHealth.workerState(machineName),
         )
-        fun putJob(id: String, vararg machineNames: String) =
-            Samples.job(Samples.spec(id = id)).copy(failedMachines = machineNames.toList(), failureCount = machineNames.size)
-                .let { put(StoreKeys.JOB + id, JobCodec.encodeHead(it), 10uL + machineNames.size.toULong()) }
+        fun putJob(id: String, vararg machineNames: String) = Samples.job(Samples.spec(id = id))
+            .copy(failedMachines = machineNames.toList(), failureCount = machineNames.size)
+            .let { put(StoreKeys.JOB + id, JobCodec.encodeHead(it), 10uL + machineNames.size.toULong()) }
         putJob("job-1", "h1")
         putJob("job-2")
         recordFailure("job-1", "h1")
