--- a/src/main/kotlin/flaxfield/workers/UnknownMachineAdopter.kt
+++ b/src/main/kotlin/flaxfield/workers/UnknownMachineAdopter.kt
@@ -13,7 +13,7 @@
 
 /**
  * Creates the missing record of a machine that sends heartbeats. A record is missing if the cloud executed a rental
- * request after the controller had stopped waiting for its response.
+ * request whose response the controller had stopped waiting for.
  */
 internal class UnknownMachineAdopter(private val context: ControllerContext, private val workerHealth: WorkerHealth) {
     /** Submits the record, unless it was deleted recently or a write of it is pending. */
