--- a/src/main/kotlin/flaxfield/workers/HeartbeatResponder.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatResponder.kt
@@ -48,7 +48,7 @@
         commands: List<WorkerCommand>,
         responder: Responder,
     ) {
-        if (!mayRenew()) return unavailable("view of the state service is stale", responder)
+        if (!mayRenew()) return unavailable("the view is too old", responder)
         val overdueHalts = commands.filterIsInstance<WorkerCommand.Halt>().filter { isCancellationOverdue(it.job) }
         workerState.haltTracker = workerState.haltTracker.afterResponse(heartbeat, overdueHalts)
         if (workerState.haltTracker.haltsAreIgnored) {
@@ -57,7 +57,7 @@
                 heartbeat.machineName,
                 fencingToken,
             )
-            return unavailable("worker ignores halts of cancelled tasks", responder)
+            return unavailable("cancelled tasks go on", responder)
         }
         val body = if (commands.isEmpty()) bodyWithoutCommands(fencingToken) else encode(fencingToken, commands)
         responder.send(HttpStatus.OK, body, null)
