--- a/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
@@ -80,7 +80,7 @@
         // Reserves quota for one task of a starved job that found no machine. Otherwise later jobs of its team take any
         // quota that becomes free.
         if (placed == 0 && context.scheduling.isStarved(job)) cycle.usage.add(job.spec.team, job.spec.taskResources)
-        if (unplacedTasks > 0 && !job.isSuspect) {
+        if (unplacedTasks > 0 && !job.isCrashLooping) {
             val tasksForShard = unplacedTasks / (context.view.assignment?.members?.size ?: 1) + 1
             cycle.headOfLine.reserve(job.spec, tasksForShard, cycle.candidates) { arrayCandidates.isSuitable(job, it) }
         }
@@ -101,4 +101,4 @@
 
 /** Whether the team of [job] has a limit, so that a placement must also update the team's quota fence. */
 internal fun isQuotaLimited(context: ControllerContext, job: Job): Boolean =
-    context.settings.teams[job.spec.team]?.limited ?: false
+    context.settings.teams[job.spec.team]?.hasLimit ?: false
--- a/src/main/kotlin/flaxfield/arrays/ShortTaskPolicy.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShortTaskPolicy.kt
@@ -13,7 +13,7 @@
         concurrentTasks(spec, bootTimeS, heartbeatIntervalS, MIN_CONCURRENT_TASKS)
 
     /** Returns the number of slots to scale out for [pending] tasks, in addition to the slots of [placed] tasks. */
-    fun placesToProvision(
+    fun slotsToProvision(
         spec: JobSpec,
         pending: Int,
         placed: Int,
--- a/src/main/kotlin/flaxfield/controller/Leadership.kt
+++ b/src/main/kotlin/flaxfield/controller/Leadership.kt
@@ -12,7 +12,7 @@
     fun leaseValid(): Boolean = clock.steadyNs() < leaseUntilNs
 
     /** The current term, which is also the workers' fencing token, if this process is a member under it; else null. */
-    fun term(): ULong? = view.assignment?.takeIf { it.has(self) }?.term
+    fun term(): ULong? = view.assignment?.takeIf { it.contains(self) }?.term
 
     /** Whether this process may decide now: a member whose lease is surely valid. */
     fun mayAct(): Boolean = term() != null && leaseValid()
--- a/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
+++ b/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
@@ -21,7 +21,7 @@
 
     /** Returns the largest gang submitted before [overdueBeforeMs], or the oldest of several equally large ones. */
     fun selectGang(waiting: Collection<Job>, overdueBeforeMs: Long): Job? = waiting
-        .filter { it.submittedMs < overdueBeforeMs && it.spec.taskCount > 1 && !it.isSuspect }
+        .filter { it.submittedMs < overdueBeforeMs && it.spec.taskCount > 1 && !it.isCrashLooping }
         .minWithOrNull(compareBy({ -it.spec.taskCount }, { it.submittedMs }, { it.id }))
 
     /**
--- a/src/main/kotlin/flaxfield/jobs/Job.kt
+++ b/src/main/kotlin/flaxfield/jobs/Job.kt
@@ -32,19 +32,19 @@
     val isFinished: Boolean get() = complete || (cancelled && placedCount == 0)
 
     /** Whether any task has ever been placed. */
-    val hasBegun: Boolean get() = chunks.values.any { it.nextAttempt > 1L }
+    val wasPlaced: Boolean get() = chunks.values.any { it.nextAttempt > 1L }
     val isGang: Boolean get() = spec.jobKind == JobKind.GANG
 
     /**
      * Whether the job crash-loops: it failed on several machines, more often than it has tasks placed now, and no task
      * has completed. The job itself is then most likely faulty. It is retried indefinitely, after all other jobs.
      */
-    val isSuspect: Boolean get() = failedMachines.size >= TaskEventRules.MIN_FAILED_MACHINES_OF_CRASH_LOOP &&
+    val isCrashLooping: Boolean get() = failedMachines.size >= TaskEventRules.MIN_FAILED_MACHINES_OF_CRASH_LOOP &&
         doneCount == 0 &&
         placedCount < failureCount
 
     /** Whether the job comes after all others: it crash-loops, and its retry was not due before [overdueBeforeMs]. */
-    fun isDeprioritized(overdueBeforeMs: Long): Boolean = isSuspect && retryAtMs >= overdueBeforeMs
+    fun isDeprioritized(overdueBeforeMs: Long): Boolean = isCrashLooping && retryAtMs >= overdueBeforeMs
 
     /** Returns the chunk that holds the task at [index]. */
     fun chunk(index: Int): JobChunk = chunks[index / chunkTasks] ?: JobChunk.empty()
--- a/src/main/kotlin/flaxfield/membership/ShardAssignment.kt
+++ b/src/main/kotlin/flaxfield/membership/ShardAssignment.kt
@@ -6,7 +6,7 @@
  */
 data class ShardAssignment(val leader: Member, val members: List<Member>, val term: ULong) {
     /** Whether [member] is one of the members, with the same incarnation. */
-    fun has(member: Member): Boolean = members.any { it.isSameProcess(member) }
+    fun contains(member: Member): Boolean = members.any { it.isSameProcess(member) }
 
     /**
      * Returns the name of the member that owns [machineName], by rendezvous hashing, or null if there are no members.
--- a/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
@@ -17,7 +17,7 @@
      * The maximum number of task records per machine. A heartbeat can list as many ended tasks again that are not yet
      * cleared, at about 70 bytes per task. A heartbeat above 64 KiB would be lost, and the lease would expire.
      */
-    const val MAX_TASKS = 300
+    const val MAX_TASKS_PER_MACHINE = 300
 
     /**
      * Returns the commands and events that result from [heartbeat].
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -141,7 +141,7 @@
         context.view.machines[machineName]?.zone ?: workerStates[machineName]?.heartbeat?.zone.orEmpty()
 
     /** Returns the state of a worker, or null if there is none. */
-    fun known(machineName: String): WorkerState? = workerStates[machineName]
+    fun workerStateOrNull(machineName: String): WorkerState? = workerStates[machineName]
 
     /**
      * Returns the state of a worker, restored from the shard summary of an earlier owner on first use. Otherwise, a
--- a/src/test/kotlin/flaxfield/jobs/JobTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/JobTest.kt
@@ -47,7 +47,7 @@
             failed(job.on(0 to "a", 1 to "b"), 2, 2) to false,
             failed(job.on(0 to "a").finish(listOf(0)), 2, 9) to false,
         )
-        for ((sample, expected) in table) assertEquals(expected, sample.isSuspect, "$sample")
+        for ((sample, expected) in table) assertEquals(expected, sample.isCrashLooping, "$sample")
         // It is scheduled after all other jobs until its retry is long overdue.
         assertTrue(failed(job, 2, 2).copy(retryAtMs = 500).isDeprioritized(overdueBeforeMs = 400))
         assertFalse(failed(job, 2, 2).copy(retryAtMs = 300).isDeprioritized(overdueBeforeMs = 400))
