--- a/src/main/kotlin/flaxfield/controller/Leadership.kt
+++ b/src/main/kotlin/flaxfield/controller/Leadership.kt
@@ -12,7 +12,7 @@
     fun leaseValid(): Boolean = clock.steadyNs() < leaseUntilNs
 
     /** The current term, which is also the workers' fencing token; null if this process is no member under it. */
-    fun term(): ULong? = view.assignment?.takeIf { it.has(self) }?.term
+    fun term(): ULong? = view.assignment?.takeIf { it.contains(self) }?.term
 
     /** Whether this process may make decisions now: it is a member and its lease is guaranteed to be valid. */
     fun mayAct(): Boolean = term() != null && leaseValid()
--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -94,5 +94,5 @@
     }
 
     /** A job that is cancelled, or that fails on every machine, has no capacity to lose. */
-    private fun counts(job: Job) = !job.cancelled && !job.isSuspect
+    private fun counts(job: Job) = !job.cancelled && !job.isCrashLooping
 }
--- a/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
@@ -74,8 +74,8 @@
 
     /** Machines that [drain] selects and that no drain has cordoned yet, the oldest first. */
     private fun candidates(drain: DrainRecord): List<Machine> = snapshot.machines.values
-        .filter { it.takesWork && drain.selector.matches(it, drain.orderedMs) }
-        .sortedWith(compareBy({ it.sinceMs }, { it.name }))
+        .filter { it.isSchedulable && drain.selector.matches(it, drain.orderedMs) }
+        .sortedWith(compareBy({ it.rentedMs }, { it.name }))
 
     private fun countTarget(drain: DrainRecord): Int {
         val all = candidates(drain).size
--- a/src/main/kotlin/flaxfield/fleet/BootMonitor.kt
+++ b/src/main/kotlin/flaxfield/fleet/BootMonitor.kt
@@ -12,7 +12,7 @@
     fun update() {
         latestUpSinceMs.clear()
         for (machine in view.machines.values) {
-            if (hasComeUp(machine)) latestUpSinceMs.merge(machine.machineType, machine.sinceMs, ::maxOf)
+            if (hasComeUp(machine)) latestUpSinceMs.merge(machine.machineType, machine.rentedMs, ::maxOf)
         }
     }
 
@@ -22,8 +22,8 @@
      */
     fun status(machine: Machine, machineType: MachineType, nowMs: Long): BootStatus {
         if (hasComeUp(machine)) return BootStatus.BOOTING
-        val ageS = (nowMs - machine.sinceMs) / MILLIS_PER_SECOND
-        val laterOnesUp = (latestUpSinceMs[machine.machineType] ?: 0L) >= machine.sinceMs
+        val ageS = (nowMs - machine.rentedMs) / MILLIS_PER_SECOND
+        val laterOnesUp = (latestUpSinceMs[machine.machineType] ?: 0L) >= machine.rentedMs
         return BootStatus.of(ageS, machineType.bootTimeS, laterOnesUp)
     }
 
--- a/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
@@ -81,7 +81,7 @@
     private fun slots(job: Job): Int {
         if (job.isGang) return job.pendingCount
         val bootTimeS = allowedMachineTypes(job.spec).minOfOrNull { it.bootTimeS } ?: 0.0
-        return ShortTaskPolicy.placesToProvision(
+        return ShortTaskPolicy.slotsToProvision(
             job.spec,
             job.pendingCount,
             job.placedCount,
@@ -104,7 +104,7 @@
             it.preemptible && TopologyConstraint.allowsMachineKind(job.spec, it.machineType, it.zone, true)
         }
         if (objectives.isEmpty() && hasSpotMachines) {
-            return OnDemandUrgency.isOverdueWithoutObjective(ageS, begun = job.placedCount + job.doneCount > 0)
+            return OnDemandUrgency.isOverdueWithoutObjective(ageS, hasStarted = job.placedCount + job.doneCount > 0)
         }
         val withinS = objectives.maxOfOrNull { it.withinS } ?: context.settings.workers.cancelS
         return ageS > withinS * (if (hasSpotMachines) URGENT_SHARE else URGENT_SHARE_WITHOUT_SPOT)
--- a/src/main/kotlin/flaxfield/fleet/CloudResponses.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudResponses.kt
@@ -9,10 +9,10 @@
     data object NoCapacity : RentalResponse
 
     /** The cloud rejects the request: repeating it is of no use. */
-    data object Malformed : RentalResponse
+    data object Rejected : RentalResponse
 
     /** No answer or a transient error: the request is repeated under the same name. */
-    data object Unclear : RentalResponse
+    data object Unknown : RentalResponse
 }
 
 /** One machine of the cloud's list; [failed] if it has stopped by itself. */
--- a/src/main/kotlin/flaxfield/fleet/Machine.kt
+++ b/src/main/kotlin/flaxfield/fleet/Machine.kt
@@ -34,12 +34,12 @@
     val preemptible: Boolean,
     val phase: MachinePhase,
     /** When it was rented; wall clock in milliseconds. */
-    val sinceMs: Long,
+    val rentedMs: Long,
     val reservation: MachineReservation?,
     val version: ULong,
     /** The drain that keeps new work off this machine; null if none does. */
     val cordon: String? = null,
 ) {
     /** Whether its record allows new work on it. */
-    val takesWork: Boolean get() = phase == MachinePhase.UP && cordon == null
+    val isSchedulable: Boolean get() = phase == MachinePhase.UP && cordon == null
 }
--- a/src/main/kotlin/flaxfield/fleet/OnDemandUrgency.kt
+++ b/src/main/kotlin/flaxfield/fleet/OnDemandUrgency.kt
@@ -23,8 +23,8 @@
     }
 
     /** Whether a job of a class without objectives has waited so long that it may never begin, or never finish. */
-    fun isOverdueWithoutObjective(ageS: Double, begun: Boolean): Boolean =
-        ageS > JobOrder.START_OBJECTIVE_S * (if (begun) BEGUN_SHARE else NOT_BEGUN_SHARE)
+    fun isOverdueWithoutObjective(ageS: Double, hasStarted: Boolean): Boolean =
+        ageS > JobOrder.START_OBJECTIVE_S * (if (hasStarted) BEGUN_SHARE else NOT_BEGUN_SHARE)
 
     private const val NOT_BEGUN_SHARE = 0.5
     private const val BEGUN_SHARE = 2.0
--- a/src/main/kotlin/flaxfield/fleet/Rental.kt
+++ b/src/main/kotlin/flaxfield/fleet/Rental.kt
@@ -11,7 +11,7 @@
     val preemptible: Boolean,
     val count: Int,
     /** When it was requested; wall clock in milliseconds. */
-    val sinceMs: Long,
+    val rentedMs: Long,
     val version: ULong,
 ) {
     /** The offer that it takes up. */
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
@@ -93,7 +93,7 @@
     }
 
     private fun bin(machine: Machine): Bin? {
-        if (!machine.takesWork || context.view.activeReservation(machine) != null) return null
+        if (!machine.isSchedulable || context.view.activeReservation(machine) != null) return null
         if (context.zones?.isReachable(machine) == false || !isExpected(machine)) return null
         val free = freeWithoutBackfill(machine) ?: return null
         return Bin(machine.name, machine.machineType, machine.zone, machine.preemptible, free)
@@ -125,7 +125,7 @@
         val view = context.view
         val hasArrayBacklog = hasArrayBacklog()
         for (machine in view.machines.values) {
-            val isIdle = machine.takesWork &&
+            val isIdle = machine.isSchedulable &&
                 machine.name !in usedMachines &&
                 (view.isEmpty(machine.name) || !hasArrayBacklog && hasOnlyBackfill(machine)) &&
                 view.machineStatus(machine.name)?.state == MachineHealth.OK
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
@@ -72,8 +72,8 @@
         val retryNs = (context.settings.workers.heartbeatIntervalS * RETRY_HEARTBEATS * NANOS_PER_SECOND).toLong()
         nextRequestNs[rental.name] = context.nowNs + retryNs
         val machines = when (response) {
-            is RentalResponse.Unclear -> return
-            is RentalResponse.NoCapacity, is RentalResponse.Malformed -> emptyList()
+            is RentalResponse.Unknown -> return
+            is RentalResponse.NoCapacity, is RentalResponse.Rejected -> emptyList()
             is RentalResponse.Granted -> response.names
         }
         if (response !is RentalResponse.Granted || machines.size < rental.count) {
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -137,7 +137,7 @@
         context.view.machines[machineName]?.zone ?: workerStates[machineName]?.heartbeat?.zone.orEmpty()
 
     /** What is known of a machine that has been heard of, or null. */
-    fun known(machineName: String): WorkerState? = workerStates[machineName]
+    fun workerStateOrNull(machineName: String): WorkerState? = workerStates[machineName]
 
     /**
      * What is known of a machine; at first what its earlier owners' shard summaries list. Without that, a failover
--- a/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
@@ -201,7 +201,7 @@
         day.at(51.0) { day.order(DrainOrder.Cancel("d-1"), 2) }
         day.run(62.0)
         assertEquals("cancelled", day.phase("d-1"))
-        val held = day.snapshot().machines.values.filter { it.cordon != null && it.takesWork }
+        val held = day.snapshot().machines.values.filter { it.cordon != null && it.isSchedulable }
         assertEquals(emptyList<Any>(), held)
         day.at(1.0) { day.order(DrainOrder.Start("d-2", zoneA), 0) }
         day.run(END_S)
