--- a/src/test/kotlin/flaxfield/store/StoreBudgetTest.kt
+++ b/src/test/kotlin/flaxfield/store/StoreBudgetTest.kt
@@ -6,19 +6,22 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** What each cause may take of the rate limits, and what it must leave to others. */
+/** The writes that each cause may take from the rate limits, and the reserve that it must leave. */
 class StoreBudgetTest {
     @Test
-    fun `the budget keeps room for what matters more`() {
+    fun `the budget reserves writes for more important causes`() {
         val budget = StoreBudget(StateLimits(100.0, 20.0, 16.0, 24), controllers = 2)
         assertTrue(budget.ample(1))
         var summaries = 0
         while (budget.take(WriteCause.ROOM, 1, 1)) summaries++
-        var commits = 0
-        while (budget.take(WriteCause.GANG, 1, 1)) commits++
-        var submits = 0
-        while (budget.take(WriteCause.SUBMIT, 1, 1)) submits++
-        assertTrue(summaries in 6..8 && commits in 2..3 && submits in 3..5, "$summaries $commits $submits")
+        var gangWrites = 0
+        while (budget.take(WriteCause.GANG, 1, 1)) gangWrites++
+        var submissions = 0
+        while (budget.take(WriteCause.SUBMIT, 1, 1)) submissions++
+        assertTrue(
+            summaries in 6..8 && gangWrites in 2..3 && submissions in 3..5,
+            "$summaries $gangWrites $submissions",
+        )
         assertFalse(budget.ample(1))
         assertTrue(budget.take(WriteCause.CANCEL, 1, 1))
         assertTrue(budget.take(WriteCause.LEASE, 0, 1))
@@ -27,10 +30,10 @@
     }
 
     @Test
-    fun `asking the budget costs nothing and tells what taking would get`() {
-        // Placements were built and refused at every turn: whoever writes asks before it builds.
+    fun `checking the budget takes nothing and predicts the result of taking`() {
+        // Without the check, placements were built and rejected in every round of decisions.
         val budget = StoreBudget(StateLimits(100.0, 20.0, 16.0, 24), controllers = 2)
-        val asked = listOf(
+        val requests = listOf(
             WriteCause.ARRAY to 2,
             WriteCause.TRICKLE to 1,
             WriteCause.FINISH to 1,
@@ -38,16 +41,16 @@
             WriteCause.SUBMIT to 1,
             WriteCause.ROOM to 3,
         )
-        var refused = 0
+        var rejected = 0
         for (step in 1..60L) {
             val now = step * 40_000_000
-            for ((cause, puts) in asked) {
-                val may = budget.may(cause, puts, now)
-                assertEquals(may, budget.may(cause, puts, now), "asked twice: $cause")
-                assertEquals(may, budget.take(cause, puts, now), "$cause $puts at step $step")
-                if (!may) refused++
+            for ((cause, changes) in requests) {
+                val allowed = budget.allows(cause, changes, now)
+                assertEquals(allowed, budget.allows(cause, changes, now), "second check: $cause")
+                assertEquals(allowed, budget.take(cause, changes, now), "$cause $changes at step $step")
+                if (!allowed) rejected++
             }
         }
-        assertTrue(refused in 1 until 60 * asked.size, "$refused refused")
+        assertTrue(rejected in 1 until 60 * requests.size, "$rejected rejected")
     }
 }
