--- a/src/main/kotlin/flaxfield/controller/RequestRouter.kt
+++ b/src/main/kotlin/flaxfield/controller/RequestRouter.kt
@@ -43,7 +43,7 @@
         if (request.method == method) {
             handle()
         } else {
-            sendError(request, HttpStatus.METHOD_NOT_ALLOWED, "method not allowed, use $method")
+            sendError(request, HttpStatus.METHOD_NOT_ALLOWED, "only $method here")
         }
     }
 
