--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The event loop of one controller, which owns all of its state and makes all of its decisions. [handle] and [turn] are
+ * The event loop of one controller, which owns all of its state and makes all of its decisions. [handle] and [runDueWork] are
  * called by a single owner: the owner thread of a process, or the event loop of a simulation in tests.
  */
 class Controller(
@@ -63,7 +63,7 @@
     fun leave(done: () -> Unit) = modules.membership.leave(done)
 
     /** Counts a request that was rejected before it was queued. Safe to call from any thread. */
-    fun refused() = metrics.refused()
+    fun countRejected() = metrics.countRejected()
 
     /**
      * Whether workers' heartbeats can be answered yet. Before the first complete view, no lease may be renewed and no
@@ -87,7 +87,7 @@
         val startNs = System.nanoTime()
         requests.route(request)
         val elapsedNs = System.nanoTime() - startNs
-        metrics.handled(RequestKind.of(request.path), elapsedNs)
+        metrics.recordRequest(RequestKind.of(request.path), elapsedNs)
         context.stats.addDutyTime(if (request.path == ApiPath.HEARTBEAT) "reports" else "users", elapsedNs)
         transports.flushLate()
     }
@@ -102,7 +102,7 @@
      * Runs the ticks and decisions that are due; called after each batch of commands and at least every [TICK_MS].
      * Decisions are deferred while many heartbeats are queued ([heartbeatsWaiting]), since heartbeats renew leases.
      */
-    fun turn(heartbeatsWaiting: Int = 0) {
+    fun runDueWork(heartbeatsWaiting: Int = 0) {
         pauseDetector.check()
         val nowNs = context.nowNs
         if (nowNs >= nextTickNs) {
@@ -111,7 +111,7 @@
         }
         val isDue = context.decisions.isDue(nowNs) && nowNs >= earliestDecisionNs || nowNs >= decisionDeadlineNs
         if (!isDue || !decisionDeferral.mayRun(nowNs, heartbeatsWaiting)) return
-        earliestDecisionNs = nowNs + DECIDE_GAP_MS * NANOS_PER_MILLI
+        earliestDecisionNs = nowNs + MIN_DECISION_INTERVAL_MS * NANOS_PER_MILLI
         decisionDeadlineNs = nowNs + MAX_DECISION_INTERVAL_MS * NANOS_PER_MILLI
         decide()
     }
@@ -145,11 +145,11 @@
     companion object {
         private val log = LoggerFactory.getLogger("flaxfield.controller")
 
-        /** The longest interval between two calls of [turn]. */
+        /** The longest interval between two calls of [runDueWork]. */
         const val TICK_MS = 100L
 
         /** The shortest interval between two rounds of decisions. */
-        const val DECIDE_GAP_MS = 60L
+        const val MIN_DECISION_INTERVAL_MS = 60L
 
         /** The longest interval between two rounds of decisions, even if none was requested. */
         private const val MAX_DECISION_INTERVAL_MS = 500L
--- a/src/main/kotlin/flaxfield/controller/ControllerContext.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerContext.kt
@@ -23,10 +23,10 @@
     val post: (() -> Unit) -> Unit,
 ) {
     /** The current monotonic time in nanoseconds. */
-    val nowNs: Long get() = clock.steadyNs()
+    val nowNs: Long get() = clock.monotonicNs()
 
     /** The current wall-clock time in milliseconds since the epoch. */
-    val nowMs: Long get() = clock.dayMs()
+    val nowMs: Long get() = clock.wallClockMs()
 
     val stats = ControllerStats()
     val decisions = DecisionTimer()
--- a/src/main/kotlin/flaxfield/controller/Metrics.kt
+++ b/src/main/kotlin/flaxfield/controller/Metrics.kt
@@ -12,7 +12,7 @@
 
 /**
  * Request counts and durations for `GET /metrics`. Requests are counted in plain fields, and the registry that names
- * them is created on first use to keep the start-up fast. Only the owner thread uses it, except [refused].
+ * them is created on first use to keep the start-up fast. Only the owner thread uses it, except [countRejected].
  */
 class Metrics {
     private class RequestTimes {
@@ -26,12 +26,12 @@
     private val registry: MeterRegistry by lazy(LazyThreadSafetyMode.NONE, ::makeRegistry)
 
     /** Counts one request that was rejected before it was queued. Safe to call from any thread. */
-    fun refused() {
+    fun countRejected() {
         refusals.incrementAndGet()
     }
 
     /** Records one request of [kind] that took [elapsedNs] on the owner thread. */
-    fun handled(kind: RequestKind, elapsedNs: Long) {
+    fun recordRequest(kind: RequestKind, elapsedNs: Long) {
         val times = timesByKind.getValue(kind)
         times.count++
         times.totalNs += elapsedNs
--- a/src/main/kotlin/flaxfield/controller/ProcessPauseDetector.kt
+++ b/src/main/kotlin/flaxfield/controller/ProcessPauseDetector.kt
@@ -18,9 +18,9 @@
 ) {
     private var lastCheckNs = 0L
 
-    /** Compares the time with the previous check; called before each command and at each [Controller.turn]. */
+    /** Compares the time with the previous check; called before each command and at each [Controller.runDueWork]. */
     fun check() {
-        val nowNs = clock.steadyNs()
+        val nowNs = clock.monotonicNs()
         val gapNs = nowNs - lastCheckNs
         val isFirst = lastCheckNs == 0L
         lastCheckNs = nowNs
--- a/src/main/kotlin/flaxfield/controller/Readiness.kt
+++ b/src/main/kotlin/flaxfield/controller/Readiness.kt
@@ -17,7 +17,7 @@
     /** Whether the process is ready to serve users now. */
     fun isReady(): Boolean {
         if (!reflector.hasSynced) return false
-        if (!storeContact.isSilent(settings.workers.leaseS)) return true
+        if (!storeContact.isUnreachable(settings.workers.leaseS)) return true
         if (peers.storeReachableElsewhere()) return false
         // If no peer is reachable either, this process is cut off rather than the store down for all controllers.
         return settings.peers.isEmpty() || peers.hasReachablePeer()
--- a/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
+++ b/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
@@ -33,16 +33,16 @@
      * changes.
      */
     fun refresh() {
-        val nowNs = clock.steadyNs()
+        val nowNs = clock.monotonicNs()
         if (refreshedAtVersion == view.jobsVersion && nowNs < refreshAfterNs) return
         refreshedAtVersion = view.jobsVersion
         refreshAfterNs = nowNs + (settings.workers.heartbeatIntervalS * NANOS_PER_SECOND).toLong()
-        reservations.update(view.jobs.values, view.machineTypes.values, clock.dayMs(), RESERVATION_MS)
-        starvation.update(view.jobs.values, clock.dayMs())
+        reservations.update(view.jobs.values, view.machineTypes.values, clock.wallClockMs(), RESERVATION_MS)
+        starvation.update(view.jobs.values, clock.wallClockMs())
     }
 
     /** Whether [job] has waited so long that reservations no longer hold it back. */
-    fun isStarved(job: Job): Boolean = starvation.isStarved(job, clock.dayMs())
+    fun isStarved(job: Job): Boolean = starvation.isStarved(job, clock.wallClockMs())
 
     /**
      * Returns how many more tasks of [job] its team's limit admits on top of [usage]. Arrays leave a part of the limit
@@ -67,7 +67,7 @@
 
     /** Returns [jobs] in their current scheduling order, given [usage]. */
     fun schedulingOrder(jobs: Collection<Job>, usage: TeamUsage): List<Job> {
-        val overdueBeforeMs = JobOrder.overdueBeforeMs(clock.dayMs())
+        val overdueBeforeMs = JobOrder.overdueBeforeMs(clock.wallClockMs())
         val recovery = zones()?.takeIf { it.isRecovering }
         return recovery?.sort(jobs, usage, overdueBeforeMs)
             ?: JobOrder.sort(jobs, guaranteed(), usage, overdueBeforeMs, ::hasObjective)
--- a/src/main/kotlin/flaxfield/controller/StoreContact.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreContact.kt
@@ -10,17 +10,18 @@
 
     /** Records that the store has just responded without an error. */
     fun noteResponse() {
-        lastResponseNs = clock.steadyNs()
+        lastResponseNs = clock.monotonicNs()
     }
 
     /** Returns the time since the last response without an error. */
-    fun timeSinceResponseNs(): Long = clock.steadyNs() - lastResponseNs
+    fun timeSinceResponseNs(): Long = clock.monotonicNs() - lastResponseNs
 
     /**
      * Whether the store counts as unreachable, given the length [leaseS] of workers' leases. Renewals of this process's
      * own lease cause frequent responses, so several renewals in a row must have failed.
      */
-    fun isSilent(leaseS: Double): Boolean = timeSinceResponseNs() > leaseS * UNREACHABLE_LEASE_SHARE * NANOS_PER_SECOND
+    fun isUnreachable(leaseS: Double): Boolean =
+        timeSinceResponseNs() > leaseS * UNREACHABLE_LEASE_SHARE * NANOS_PER_SECOND
 
     private companion object {
         /** The time without a response after which the store counts as unreachable, as a share of a worker's lease. */
--- a/src/main/kotlin/flaxfield/controller/Subsystem.kt
+++ b/src/main/kotlin/flaxfield/controller/Subsystem.kt
@@ -19,7 +19,7 @@
     fun demands(): List<CapacityDemand>
 
     /** Returns the change that records a loss of tasks; each transaction that commits such a loss includes it. */
-    fun lossMark(): Change
+    fun lossRecord(): Change
 }
 
 /** Creates the subsystem of one controller. */
--- a/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
+++ b/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
@@ -52,7 +52,7 @@
     }
 
     /** Whether a transaction with [changes] changes for [cause] would be sent now. Call this before building one. */
-    fun mayWrite(cause: WriteCause, changes: Int): Boolean = budget.allows(cause, changes, clock.steadyNs())
+    fun mayWrite(cause: WriteCause, changes: Int): Boolean = budget.allows(cause, changes, clock.monotonicNs())
 
     /**
      * Sends [transaction] if it is within the size limits and the budget allows it for [cause]; otherwise returns false
@@ -67,7 +67,7 @@
             reject(transaction, violation)
             return false
         }
-        if (!budget.take(cause, transaction.changes.size, clock.steadyNs())) return false
+        if (!budget.take(cause, transaction.changes.size, clock.monotonicNs())) return false
         send(cause, transaction, done)
         return true
     }
@@ -84,7 +84,7 @@
     }
 
     private fun isRejected(transaction: Transaction): Boolean = rejectedUntilNs.isNotEmpty() &&
-        transaction.changes.any { (rejectedUntilNs[it.key] ?: 0L) > clock.steadyNs() }
+        transaction.changes.any { (rejectedUntilNs[it.key] ?: 0L) > clock.monotonicNs() }
 
     /**
      * Logs a transaction that is too large, which is a defect: its author must split it. Its keys are not written again
@@ -93,7 +93,7 @@
     private fun reject(transaction: Transaction, violation: String) {
         log.error("event=transaction_rejected keys={} reason={}", transaction.changes.map { it.key }, violation)
         if (rejectedUntilNs.size > MAX_REJECTED_KEYS) rejectedUntilNs.clear()
-        val untilNs = clock.steadyNs() + (settings.workers.cancelS * NANOS_PER_SECOND).toLong()
+        val untilNs = clock.monotonicNs() + (settings.workers.cancelS * NANOS_PER_SECOND).toLong()
         for (change in transaction.changes) rejectedUntilNs[change.key] = untilNs
     }
 
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -39,7 +39,7 @@
     val gangs: Set<String> = records.jobs.gangs
 
     /** Chunks without a head in the view, by `job/number`: listed before it, or left behind by a finished job. */
-    val strayChunks: Map<String, JobChunk> = records.jobs.strayChunks
+    val orphanedChunks: Map<String, JobChunk> = records.jobs.orphanedChunks
 
     /** The machines by name. */
     val machines: Map<String, Machine> = records.machines.byName
@@ -85,10 +85,10 @@
         records.placements.jobIdsOn(machineName)?.mapNotNull { jobs[it] }.orEmpty()
 
     /** Returns the number of tasks of [job] that are recorded on [machineName]. */
-    fun countOn(machineName: String, job: String): Int = records.placements.countOn(machineName, job)
+    fun taskCountOn(machineName: String, job: String): Int = records.placements.taskCountOn(machineName, job)
 
     /** Returns the number of tasks that are recorded on [machineName]. */
-    fun tasksOn(machineName: String): Int = records.placements.countOn(machineName)
+    fun taskCountOn(machineName: String): Int = records.placements.taskCountOn(machineName)
 
     /** Returns the resources of [machine] that its recorded tasks leave free; null if its type is unknown. */
     fun free(machine: Machine): Resources? = records.placements.free(machine, machineTypes, jobs)
--- a/src/main/kotlin/flaxfield/store/PlacementIndex.kt
+++ b/src/main/kotlin/flaxfield/store/PlacementIndex.kt
@@ -53,10 +53,10 @@
     fun jobIdsOn(machineName: String): Set<String>? = byMachine[machineName]?.keys
 
     /** Returns the number of placements of [jobId] on [machineName]. */
-    fun countOn(machineName: String, jobId: String): Int = byMachine[machineName]?.get(jobId)?.size ?: 0
+    fun taskCountOn(machineName: String, jobId: String): Int = byMachine[machineName]?.get(jobId)?.size ?: 0
 
     /** Returns the number of placements on [machineName]. */
-    fun countOn(machineName: String): Int = byMachine[machineName]?.values?.sumOf { it.size } ?: 0
+    fun taskCountOn(machineName: String): Int = byMachine[machineName]?.values?.sumOf { it.size } ?: 0
 
     /** Returns the free resources of [machine]; null if its type is not in [machineTypes]. */
     fun free(machine: Machine, machineTypes: Map<String, MachineType>, jobs: Map<String, Job>): Resources? {
--- a/src/main/kotlin/flaxfield/store/StoreBudget.kt
+++ b/src/main/kotlin/flaxfield/store/StoreBudget.kt
@@ -14,7 +14,7 @@
         TokenBucket(limits.writeRps * USABLE_SHARE * MAINTENANCE_SHARE, controllers, MAINTENANCE_CAPACITY_S)
 
     /** Whether enough writes are available that changes need not be batched to save them. */
-    fun ample(nowNs: Long): Boolean {
+    fun hasAmpleWrites(nowNs: Long): Boolean {
         writes.refill(nowNs)
         return writes.tokens >= writes.rate * AMPLE_SHARE
     }
@@ -22,7 +22,7 @@
     /**
      * Returns the largest size of a bulk write, at most [max]. A larger one would delay all other writes for seconds.
      */
-    fun bulk(max: Int): Int = minOf(max, (writes.rate * BULK_WRITE_S).toInt().coerceAtLeast(MIN_BULK_CHANGES))
+    fun maxBulkChanges(max: Int): Int = minOf(max, (writes.rate * BULK_WRITE_S).toInt().coerceAtLeast(MIN_BULK_CHANGES))
 
     /** Limits this controller to [share] of the two limits from now on. */
     fun setShare(share: RateShare) {
--- a/src/main/kotlin/flaxfield/store/TransactionSize.kt
+++ b/src/main/kotlin/flaxfield/store/TransactionSize.kt
@@ -36,7 +36,7 @@
     fun fault(transaction: Transaction, limits: StateLimits): String? {
         var total = transaction.conditions.keys.sumOf { it.length + OVERHEAD_BYTES }
         for (change in transaction.changes) {
-            val valueBytes = if (change is Change.Put) json(change.value) else 0
+            val valueBytes = if (change is Change.Put) jsonBytes(change.value) else 0
             if (valueBytes > limits.valueKb * BYTES_PER_KIB) return "value_too_large:${change.key}:$valueBytes"
             if (change.key.length > MAX_KEY_BYTES) return "key_too_long:${change.key}"
             total += valueBytes + change.key.length + OVERHEAD_BYTES
@@ -52,14 +52,14 @@
     }
 
     /** Returns the size of [value] as JSON in bytes; an upper bound if a string contains characters to escape. */
-    fun json(value: Any?): Int = when (value) {
+    fun jsonBytes(value: Any?): Int = when (value) {
         null -> NULL_BYTES
         is Map<*, *> ->
             ENCLOSING_BYTES +
                 value.entries.sumOf { (key, item) ->
-                    textBytes(key.toString()) + COLON_BYTES + json(item) + COMMA_BYTES
+                    textBytes(key.toString()) + COLON_BYTES + jsonBytes(item) + COMMA_BYTES
                 }
-        is Collection<*> -> ENCLOSING_BYTES + value.sumOf { json(it) + COMMA_BYTES }
+        is Collection<*> -> ENCLOSING_BYTES + value.sumOf { jsonBytes(it) + COMMA_BYTES }
         is String -> textBytes(value)
         is Boolean -> if (value) TRUE_BYTES else FALSE_BYTES
         else -> value.toString().length
--- a/src/test/kotlin/flaxfield/store/StoreBudgetTest.kt
+++ b/src/test/kotlin/flaxfield/store/StoreBudgetTest.kt
@@ -11,7 +11,7 @@
     @Test
     fun `the budget reserves writes for more important causes`() {
         val budget = StoreBudget(StateLimits(100.0, 20.0, 16.0, 24), controllers = 2)
-        assertTrue(budget.ample(1))
+        assertTrue(budget.hasAmpleWrites(1))
         var summaries = 0
         while (budget.take(WriteCause.ROOM, 1, 1)) summaries++
         var gangWrites = 0
@@ -22,7 +22,7 @@
             summaries in 6..8 && gangWrites in 2..3 && submissions in 3..5,
             "$summaries $gangWrites $submissions",
         )
-        assertFalse(budget.ample(1))
+        assertFalse(budget.hasAmpleWrites(1))
         assertTrue(budget.take(WriteCause.CANCEL, 1, 1))
         assertTrue(budget.take(WriteCause.LEASE, 0, 1))
         assertFalse(budget.take(WriteCause.ROOM, 1, 100_000_000))
--- a/src/test/kotlin/flaxfield/store/TransactionSizeTest.kt
+++ b/src/test/kotlin/flaxfield/store/TransactionSizeTest.kt
@@ -43,9 +43,9 @@
         val value = mapOf("a" to listOf(1, 2.5, true, null), "text" to "plain", "m" to mapOf("k" to ULong.MAX_VALUE))
         val written = """{"a":[1,2.5,true,null],"text":"plain","m":{"k":18446744073709551615}}"""
         assertTrue(
-            TransactionSize.json(value) in written.length..written.length + 8,
-            "${TransactionSize.json(value)} ${written.length}",
+            TransactionSize.jsonBytes(value) in written.length..written.length + 8,
+            "${TransactionSize.jsonBytes(value)} ${written.length}",
         )
-        assertEquals(2 + 1 + 6 + 6, TransactionSize.json("a\"\u00e9"), "an escape counts as six bytes")
+        assertEquals(2 + 1 + 6 + 6, TransactionSize.jsonBytes("a\"\u00e9"), "an escape counts as six bytes")
     }
 }
