--- a/src/main/kotlin/flaxfield/zones/AbandonCodec.kt
+++ b/src/main/kotlin/flaxfield/zones/AbandonCodec.kt
@@ -2,15 +2,15 @@
 
 import flaxfield.codec.FieldMap
 
-/** The stored form of [AbandonOrder]. */
+/** Encodes and decodes stored [AbandonOrder]s. */
 object AbandonCodec {
-    /** The stored value of [order]; its zone and class are in the key. */
+    /** Returns the stored value of [order]. Its zone and job class are part of the key. */
     fun encode(order: AbandonOrder): Map<String, Any?> = mapOf(
         "incarnation" to order.incarnation,
         "at" to order.orderedMs,
     )
 
-    /** The order stored under [name], see [AbandonOrder.name], at [version]. */
+    /** Returns the order stored at [version] under [name], which is an [AbandonOrder.name]. */
     fun decode(name: String, fields: FieldMap, version: ULong) = AbandonOrder(
         name.substringBefore('/'),
         name.substringAfter('/'),
--- a/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
+++ b/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
@@ -9,13 +9,15 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Records the operators' [AbandonOrder]s, on whichever controller they reach. Orders are idempotent: a repeated one for
- * the same loss gets the answer of the first. Owned by the owner thread.
+ * Records the operators' [AbandonOrder]s on the controller that receives them. Orders are idempotent: a repeated order
+ * for the same loss gets the result of the first. Confined to the owner thread.
  */
 class AbandonOrders(private val context: ControllerContext) {
     private val writer = OrderWriter(context)
 
-    /** Records an order about [jobClass] in [zone], judged by [snapshot]; [done] is called on the owner thread. */
+    /**
+     * Validates an order for [jobClass] in [zone] against [snapshot] and records it. Calls [done] on the owner thread.
+     */
     fun take(zone: String, jobClass: String, snapshot: FleetSnapshot, done: (OrderResult<AbandonOrder>) -> Unit) {
         val record = snapshot.zones[zone]
         if (record == null || record.incarnation == 0L) {
--- a/src/main/kotlin/flaxfield/zones/FairShares.kt
+++ b/src/main/kotlin/flaxfield/zones/FairShares.kt
@@ -4,62 +4,69 @@
 import flaxfield.quota.DominantShare
 import flaxfield.settings.Team
 
-/** What one team asks for of the available capacity, in one tier. */
-data class TeamWant(
+/** The capacity that the jobs of one team demand in one recovery tier. */
+data class TeamDemand(
     val team: String,
-    val want: Capacity,
-    /** The team's quota; its guarantee is the weight of its share. Null for an unknown team. */
+    val demand: Capacity,
+    /** The team's quota, of which the guarantee is the weight of the team's share. Null for an unknown team. */
     val guarantee: Team?,
 )
 
-/** A team's fair share of the available capacity, and what it has. */
+/** A team's fair share of the available capacity, and the capacity allocated to its tasks. */
 data class TeamShare(val team: String, val target: Capacity, val held: Capacity) {
-    /** How far the team is below its target, as a share of it by its dominant resource; 0 if it has at least that. */
+    /**
+     * How far the team is below its target, as a fraction of the target. This is the larger fraction of the two
+     * resources, and 0 if the target is met.
+     */
     val shortfall: Double
-        get() = maxOf(missing(target.cpus, held.cpus), missing(target.accelerators, held.accelerators))
+        get() = maxOf(
+            missingFraction(target.cpus, held.cpus),
+            missingFraction(target.accelerators, held.accelerators),
+        )
 
-    private fun missing(target: Double, held: Double): Double =
-        if (target <= 0.0) 0.0 else ((target - held) / target).coerceAtLeast(0.0)
+    private fun missingFraction(target: Double, allocated: Double): Double =
+        if (target <= 0.0) 0.0 else ((target - allocated) / target).coerceAtLeast(0.0)
 }
 
 /**
- * Pure: weighted max-min fairness over CPUs and accelerators together. Every team's [DominantShare] of its guarantee
- * grows at the same pace, until the team has what it asked for or a resource that it asked for is used up.
+ * Computes weighted max-min fair shares of CPUs and accelerators by progressive filling. The [DominantShare] of each
+ * team's guarantee grows at the same rate until the team's demand is met or a resource that it demands is exhausted.
+ * Pure functions.
  */
 object FairShares {
     private const val EPSILON = 1e-9
 
-    /** What each team of [wants] should get of [available], by team. */
-    fun targets(available: Capacity, wants: List<TeamWant>): Map<String, Capacity> {
-        val granted = wants.associateTo(HashMap()) { it.team to 0.0 }
-        var left = available
-        val growing = wants.filterTo(ArrayList()) { growth(it) > 0.0 }
-        while (growing.isNotEmpty()) {
-            val consumption = growing.fold(Capacity.NONE) { sum, team -> sum + team.want * growth(team) }
-            val untilSatisfied = growing.minOf { (1.0 - granted.getValue(it.team)) / growth(it) }
+    /** Returns the fair share of [available] for each team of [demands], by team name. */
+    fun targets(available: Capacity, demands: List<TeamDemand>): Map<String, Capacity> {
+        val filledFraction = demands.associateTo(HashMap()) { it.team to 0.0 }
+        var remaining = available
+        val active = demands.filterTo(ArrayList()) { fillRate(it) > 0.0 }
+        while (active.isNotEmpty()) {
+            val consumption = active.fold(Capacity.NONE) { sum, team -> sum + team.demand * fillRate(team) }
+            val untilSatisfied = active.minOf { (1.0 - filledFraction.getValue(it.team)) / fillRate(it) }
             val step = minOf(
                 untilSatisfied,
-                untilUsedUp(left.cpus, consumption.cpus),
-                untilUsedUp(left.accelerators, consumption.accelerators),
+                untilExhausted(remaining.cpus, consumption.cpus),
+                untilExhausted(remaining.accelerators, consumption.accelerators),
             )
-            for (team in growing) granted.merge(team.team, step * growth(team), Double::plus)
-            left += consumption * -step
-            growing.removeIf { granted.getValue(it.team) >= 1.0 - EPSILON || isBlocked(it, left) }
+            for (team in active) filledFraction.merge(team.team, step * fillRate(team), Double::plus)
+            remaining += consumption * -step
+            active.removeIf { filledFraction.getValue(it.team) >= 1.0 - EPSILON || isBlocked(it, remaining) }
         }
-        return wants.associate { it.team to it.want * granted.getValue(it.team).coerceAtMost(1.0) }
+        return demands.associate { it.team to it.demand * filledFraction.getValue(it.team).coerceAtMost(1.0) }
     }
 
-    /** The part of its request by which a team grows while its share of its guarantee grows by one. */
-    private fun growth(team: TeamWant): Double {
-        val share = DominantShare.of(team.want.cpus, team.want.accelerators, team.guarantee)
-        // A request for none of the guaranteed resources is measured in units, as that of a team without a guarantee.
-        val fullShare = if (share > 0.0) share else maxOf(team.want.cpus, team.want.accelerators)
+    /** Returns the fraction of the team's demand that is filled while its dominant share grows by one. */
+    private fun fillRate(team: TeamDemand): Double {
+        val share = DominantShare.of(team.demand.cpus, team.demand.accelerators, team.guarantee)
+        // A demand for none of the guaranteed resources is measured in units, as for a team without a guarantee.
+        val fullShare = if (share > 0.0) share else maxOf(team.demand.cpus, team.demand.accelerators)
         return if (fullShare <= 0.0) 0.0 else 1.0 / fullShare
     }
 
-    private fun untilUsedUp(left: Double, consumption: Double): Double =
-        if (consumption <= 0.0) Double.MAX_VALUE else left.coerceAtLeast(0.0) / consumption
+    private fun untilExhausted(remaining: Double, consumption: Double): Double =
+        if (consumption <= 0.0) Double.MAX_VALUE else remaining.coerceAtLeast(0.0) / consumption
 
-    private fun isBlocked(team: TeamWant, left: Capacity) =
-        team.want.cpus > 0.0 && left.cpus <= EPSILON || team.want.accelerators > 0.0 && left.accelerators <= EPSILON
+    private fun isBlocked(team: TeamDemand, rest: Capacity) =
+        team.demand.cpus > 0.0 && rest.cpus <= EPSILON || team.demand.accelerators > 0.0 && rest.accelerators <= EPSILON
 }
--- a/src/main/kotlin/flaxfield/zones/FleetZoneRules.kt
+++ b/src/main/kotlin/flaxfield/zones/FleetZoneRules.kt
@@ -7,16 +7,16 @@
 import flaxfield.jobs.JobSpec
 
 /**
- * The rules of the fleet files and the operators' orders, as of the latest snapshot. While the members' files differ,
- * the strictest applies.
+ * Takes the rules from the fleet files and the operators' orders in the latest snapshot. While the members' files
+ * differ, the strictest rule applies.
  */
 class FleetZoneRules(private val snapshot: () -> FleetSnapshot) : ZoneRules {
     private var policySource: FleetSnapshot? = null
     private var policy: FleetPolicy? = null
 
     /**
-     * The policy of all members' files, also while only some members have one: what one file forbids stays forbidden.
-     * Null without any file.
+     * Returns the policy that combines the files of all members, or null if there is none. It is also used while only
+     * some members have a file, so that anything forbidden by one file is forbidden.
      */
     private fun policy(): FleetPolicy? {
         val current = snapshot()
--- a/src/main/kotlin/flaxfield/zones/HeartbeatCoverage.kt
+++ b/src/main/kotlin/flaxfield/zones/HeartbeatCoverage.kt
@@ -1,43 +1,53 @@
 package flaxfield.zones
 
 /**
- * From how many of its machines in one zone a controller has had recent heartbeats, under the present term. Ordinals
- * are stored, so that the order of the constants must not change.
+ * The share of a controller's machines in one zone that have sent it recent heartbeats under the current term. The
+ * order of the constants must not change because their ordinals are stored.
  */
 enum class HeartbeatCoverage {
-    /** It has owned the machines too briefly to tell. */
+    /** The controller has not owned the machines for long enough to tell. */
     UNKNOWN,
 
-    /** Hardly any: at most [ZoneEvidence.MAX_SILENT_SHARE] of them. */
+    /** At most [ZoneEvidence.MAX_LATE_HEARTBEAT_SHARE] of the machines. */
     NONE,
+
+    /** More machines than for [NONE], but no majority. */
     SOME,
+
+    /** More than [ZoneEvidence.MAJORITY_SHARE] of the machines. */
     MOST,
     ;
 
-    /** Whether it shows that the zone is reachable. */
+    /** Whether the coverage proves that the zone is reachable. */
     val showsReachable: Boolean get() = this == SOME || this == MOST
 
     companion object {
         /**
-         * The coverage of [expected] machines of which [heard] have sent heartbeats; [settled] if all of them have had
-         * the time to.
+         * Returns the coverage of [expected] machines, [reporting] of which have sent recent heartbeats.
+         * [ownedLongEnough] tells whether all of them have had the time to send one to this owner.
          */
-        fun of(expected: Int, heard: Int, settled: Boolean): HeartbeatCoverage = when {
-            heard > expected * ZoneEvidence.MAJORITY_SHARE -> MOST
-            heard > expected * ZoneEvidence.MAX_SILENT_SHARE -> SOME
-            settled -> NONE
+        fun of(expected: Int, reporting: Int, ownedLongEnough: Boolean): HeartbeatCoverage = when {
+            reporting > expected * ZoneEvidence.MAJORITY_SHARE -> MOST
+            reporting > expected * ZoneEvidence.MAX_LATE_HEARTBEAT_SHARE -> SOME
+            ownedLongEnough -> NONE
             else -> UNKNOWN
         }
     }
 }
 
-/** What one controller reports about one zone, beside the summaries of its machines. */
+/** The heartbeat coverage of one zone as reported by one controller, in addition to its machine summaries. */
 data class ZoneCoverage(
-    /** Machines of its shard there that have sent heartbeats before, to it or an earlier owner, or that carry tasks. */
+    /**
+     * How many machines of the controller's shard in the zone are expected to send heartbeats. These have sent
+     * heartbeats before, to it or to an earlier owner, or have tasks.
+     */
     val expected: Int,
     val coverage: HeartbeatCoverage,
 ) {
-    /** Whether [other] leads to the same judgement: the exact count matters only where there are few machines. */
+    /**
+     * Whether [other] leads to the same decision: the number of machines matters only up to
+     * [ZoneEvidence.MIN_MACHINES].
+     */
     fun isEquivalentTo(other: ZoneCoverage): Boolean = coverage == other.coverage &&
         minOf(expected, ZoneEvidence.MIN_MACHINES) == minOf(other.expected, ZoneEvidence.MIN_MACHINES)
 }
--- a/src/main/kotlin/flaxfield/zones/OpenMachines.kt
+++ b/src/main/kotlin/flaxfield/zones/OpenMachines.kt
@@ -4,16 +4,17 @@
 import flaxfield.store.ClusterView
 
 /**
- * The machines of returning zones that may get new work: the first ones by name among those not known to be silent or
- * faulty. Every controller opens the same ones at the same revision, and they stay the same while they are healthy.
- * Results are cached until the zone's record or the machines change. Owned by the owner thread.
+ * Selects the machines of returning zones on which tasks may be placed: the first ones by name that are not known to
+ * be unreachable or faulty. Every controller selects the same machines at the same revision, and a machine stays
+ * selected while it is healthy. The selection is cached until the zone's record or the machines change. Confined to
+ * the owner thread.
  */
 class OpenMachines(private val view: ClusterView) {
     private class CacheEntry(val record: ZoneRecord, val machinesVersion: Long, val names: Set<String>)
 
     private val cache = HashMap<String, CacheEntry>()
 
-    /** The names of the open machines in the zone of [record]. */
+    /** Returns the names of the open machines in the zone of [record]. */
     fun names(record: ZoneRecord): Set<String> {
         val cached = cache[record.zone]
         if (cached != null && cached.record == record && cached.machinesVersion == view.machinesVersion) {
--- a/src/main/kotlin/flaxfield/zones/RecoveryOrder.kt
+++ b/src/main/kotlin/flaxfield/zones/RecoveryOrder.kt
@@ -5,9 +5,8 @@
 import java.util.PriorityQueue
 
 /**
- * Pure: the order in which jobs are served while a zone is lost or returning. The same order decides which of its
- * machines are released first, which task events are committed first, for which jobs machines are rented, and which are
- * placed.
+ * Sorts jobs by their priority while a zone is lost or returning. The same order applies to the release of the zone's
+ * machines, to the commits of task events, to the rental of machines and to placement. Pure functions.
  */
 object RecoveryOrder {
     private data class Rank(
@@ -20,21 +19,21 @@
     private val RANK_ORDER =
         compareBy<Rank>({ it.isDeprioritized }, { !it.isOverdue }, { it.tier }, { !it.isWithinGuarantee })
 
-    /**
-     * The waiting jobs of one team in their order, and the team's dominant share with what it has been given so far.
-     */
+    /** The waiting jobs of one team in order, and the team's dominant share including its jobs sorted so far. */
     private class TeamQueue(val share: Double, val team: String, val jobs: ArrayDeque<Job>)
 
     /**
-     * Sorts by these criteria, one after another:
-     * - jobs that seem to be mistakes come last;
-     * - jobs submitted before [overdueBeforeMs] of which no task has begun come first, so that no tier starves another;
-     * - the [tier], 0 being the most urgent;
-     * - jobs whose ids are in [guaranteed] come first, as they lie within their team's quota guarantee;
-     * - the team with the smallest dominant share of its guarantee is next, where each job in this order counts: this
-     *   is progressive filling, the discrete form of weighted max-min fairness, see [FairShares];
-     * - the age. A job that had begun before the loss at [lossMs] counts from then, since its tasks were running: with
-     *   its whole age, displaced work would go before everything younger, and with the present as its age, after it.
+     * Returns [jobs] sorted by these criteria, from the most to the least significant:
+     * - Deprioritized jobs, see [Job.isDeprioritized], come last.
+     * - Overdue jobs come first, so that no tier starves another. They were submitted before [overdueBeforeMs], and
+     *   none of their tasks is placed or done.
+     * - Jobs of a lower [tier] come first; tier 0 is the most urgent.
+     * - Jobs whose ids are in [guaranteed], as they fit their team's quota guarantee, come first.
+     * - The team with the smallest dominant share of its guarantee comes next. Jobs that are already sorted count
+     *   towards the share: this is progressive filling, a discrete form of weighted max-min fairness, see [FairShares].
+     * - Older jobs come first. A job that was placed before the loss at [lossMs] is as old as the loss, since its tasks
+     *   were running until then. By its submission time, displaced work would precede all younger jobs; by the current
+     *   time, it would follow them.
      */
     fun sort(
         jobs: Collection<Job>,
--- a/src/main/kotlin/flaxfield/zones/ReturnRamp.kt
+++ b/src/main/kotlin/flaxfield/zones/ReturnRamp.kt
@@ -2,35 +2,35 @@
 
 import kotlin.math.ceil
 
-/** Pure: the growing number of a zone's machines that may get new work while it returns. */
+/** Computes how many machines of a returning zone may get new tasks: the share grows step by step. Pure functions. */
 object ReturnRamp {
-    /** The step of a zone from which no heartbeats come, and which is tried with [TRIAL_MACHINES]. */
-    const val TRIAL = 0
+    /** The step of a zone that sends no heartbeats and is probed with [PROBE_MACHINES]. */
+    const val PROBE_STEP = 0
 
-    /** The first step of a zone from which heartbeats come again. */
-    const val FIRST = 1
+    /** The first step of a zone that sends heartbeats again. */
+    const val FIRST_STEP = 1
 
-    /** Enough to see whether machines boot there; each costs a boot in vain while the zone is still down. */
-    const val TRIAL_MACHINES = 2
+    /** Enough to see whether machines boot in the zone. Each costs a failed boot while the zone is still down. */
+    const val PROBE_MACHINES = 2
 
-    /** The share of its machines with which a zone starts; each step doubles it. */
+    /** The share of its machines that a zone opens at [FIRST_STEP]. Each further step doubles it. */
     private const val FIRST_SHARE = 0.125
 
     private const val MAX_DOUBLINGS = 3
 
     /** Whether [step] opens all machines. */
-    fun isComplete(step: Int): Boolean = step >= FIRST + MAX_DOUBLINGS
+    fun isComplete(step: Int): Boolean = step >= FIRST_STEP + MAX_DOUBLINGS
 
-    /** How many machines of the zone of [record] may get new work now; null if all may. */
+    /** Returns how many machines in the zone of [record] may get new tasks, or null if all may. */
     fun limit(record: ZoneRecord): Int? = when {
         record.isClosed -> 0
         record.state == ZoneState.HEALTHY -> null
-        record.step <= TRIAL -> TRIAL_MACHINES
-        else -> ceil(record.machines * share(record.step)).toInt().coerceAtLeast(TRIAL_MACHINES)
+        record.step <= PROBE_STEP -> PROBE_MACHINES
+        else -> ceil(record.machines * openShare(record.step)).toInt().coerceAtLeast(PROBE_MACHINES)
     }
 
-    /** The step at which a zone that is lost again at [step] begins its next return: half of the share it had. */
-    fun stepAfterLoss(step: Int): Int = (step - 1).coerceAtLeast(FIRST)
+    /** Returns the step at which a zone that was lost again at [step] starts its next return, with half the share. */
+    fun stepAfterLoss(step: Int): Int = (step - 1).coerceAtLeast(FIRST_STEP)
 
-    private fun share(step: Int): Double = FIRST_SHARE * (1 shl (step - FIRST).coerceAtMost(MAX_DOUBLINGS))
+    private fun openShare(step: Int): Double = FIRST_SHARE * (1 shl (step - FIRST_STEP).coerceAtMost(MAX_DOUBLINGS))
 }
--- a/src/main/kotlin/flaxfield/zones/TierBarrier.kt
+++ b/src/main/kotlin/flaxfield/zones/TierBarrier.kt
@@ -3,13 +3,13 @@
 import flaxfield.jobs.Job
 
 /**
- * Keeps jobs of less urgent tiers from overtaking a job that can't be placed at the moment: a placement of it is still
- * being written ([inFlight]), or another shard places it first. Made anew for each scheduling round.
+ * Keeps jobs of less urgent tiers from overtaking a job that cannot be placed yet, because one of its placements is
+ * still being written ([inFlight]) or another shard places it first. Valid for one scheduling round.
  */
 class TierBarrier(inFlight: Collection<Job>, private val tier: (Job) -> Int) {
     private var mostUrgentWaiting: Int? = inFlight.minOfOrNull(tier)
 
-    /** Records that [job] has to wait in this round; less urgent tiers wait with it. */
+    /** Records that [job] has to wait in this round, so that less urgent tiers wait as well. */
     fun holdBack(job: Job) {
         mostUrgentWaiting = minOf(mostUrgentWaiting ?: Int.MAX_VALUE, tier(job))
     }
--- a/src/main/kotlin/flaxfield/zones/ZoneCodec.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneCodec.kt
@@ -3,21 +3,21 @@
 import flaxfield.codec.FieldMap
 import flaxfield.store.StoreKeys
 
-/** The stored form of [ZoneRecord]. */
+/** Encodes and decodes stored [ZoneRecord]s. */
 object ZoneCodec {
-    /** The stored value of [record]; its zone and version are the store's. */
+    /** Returns the stored value of [record]. The store keeps its zone in the key, and its version. */
     fun encode(record: ZoneRecord): Map<String, Any?> = mapOf(
         "state" to record.state.name.lowercase(),
         "incarnation" to record.incarnation,
         "at" to record.sinceMs,
         "machines" to record.machines,
         "step" to record.step,
-        "relapses" to record.relapses,
+        "relapses" to record.flapCount,
         "lost" to record.lostMs,
-        "ended" to record.endedMs,
+        "ended" to record.lossEndedMs,
     )
 
-    /** The record stored under [key] at [version]. */
+    /** Returns the record stored under [key] at [version]. */
     fun decode(fields: FieldMap, key: String, version: ULong) = ZoneRecord(
         key.removePrefix(StoreKeys.ZONE),
         ZoneState.valueOf(fields.requireText("state").uppercase()),
--- a/src/main/kotlin/flaxfield/zones/ZoneEvidence.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneEvidence.kt
@@ -1,26 +1,29 @@
 package flaxfield.zones
 
-/** What all controllers together know about one zone. */
+/** The combined heartbeat coverage of one zone over all controllers. */
 data class ZoneEvidence(
     val zone: String,
-    /** Machines from which heartbeats are expected. */
-    val expected: Int,
-    /** No controller gets heartbeats from it, and each has had the time to. */
-    val silent: Boolean,
-    /** At least one controller gets heartbeats from it. */
-    val heard: Boolean,
+    /** How many machines are expected to send heartbeats. */
+    val expectedMachines: Int,
+    /** Whether no controller gets heartbeats from the zone, though each has owned its machines for long enough. */
+    val isUnreachable: Boolean,
+    /** Whether at least one controller gets heartbeats from the zone. */
+    val isReachable: Boolean,
 ) {
     companion object {
-        /** Late heartbeats sent just before a zone was lost may come from this share of its machines. */
-        const val MAX_SILENT_SHARE = 0.1
+        /** Delayed heartbeats, sent just before a zone was lost, may arrive from this share of its machines. */
+        const val MAX_LATE_HEARTBEAT_SHARE = 0.1
         const val MAJORITY_SHARE = 0.5
 
-        /** Fewer machines than this may fail together by chance: each is judged by itself. */
+        /**
+         * Fewer machines than this may fail together by chance: they are assessed one by one and make no zone suspect.
+         */
         const val MIN_MACHINES = 3
 
         /**
-         * The evidence on each zone, by name, from what the [members] have [reported], by member and zone. Null while a
-         * member has reported nothing under this term, since it may be the one that gets heartbeats.
+         * Returns the evidence on each zone, by zone name, from the coverage [reported] by the [members], which is
+         * keyed by member and zone. Returns null until every member has reported under the current term, since a
+         * missing member may be the one that gets heartbeats.
          */
         fun of(
             members: Collection<String>,
@@ -32,12 +35,12 @@
         }
 
         private fun of(zone: String, reported: List<ZoneCoverage>): ZoneEvidence {
-            val expected = reported.sumOf { it.expected }
+            val expectedMachines = reported.sumOf { it.expected }
             return ZoneEvidence(
                 zone,
-                expected,
-                silent = expected > 0 && reported.all { it.coverage == HeartbeatCoverage.NONE },
-                heard = reported.any { it.coverage.showsReachable },
+                expectedMachines,
+                isUnreachable = expectedMachines > 0 && reported.all { it.coverage == HeartbeatCoverage.NONE },
+                isReachable = reported.any { it.coverage.showsReachable },
             )
         }
     }
--- a/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
@@ -12,20 +12,21 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Brings the zones' records in line with the evidence. Only the leader writes them, by compare-and-swap under its term;
- * all state is in the records, so that a new leader continues where the last one stopped. Owned by the owner thread.
+ * Reconciles the zones' records with the heartbeat evidence. Only the leader writes them, by compare-and-swap under its
+ * term. All state is in the records, so that a new leader continues from the state of the previous one. Confined to
+ * the owner thread.
  */
 class ZoneReconciler(private val context: ControllerContext) {
-    private val health = ZoneHealth(ZoneTimes(context.settings.workers.leaseS))
+    private val stateMachine = ZoneStateMachine(ZoneTimes(context.settings.workers.leaseS))
     private val intervalNs = heartbeatsToNs(INTERVAL_HEARTBEATS)
     private val maxViewAgeNs = heartbeatsToNs(MAX_VIEW_AGE_HEARTBEATS)
-    private var nextNs = 0L
+    private var nextRunNs = 0L
 
-    /** Judges the zones when that is due, and writes the records that change. */
+    /** Reconciles all zones once per interval, and writes the records that change. */
     fun tick() {
-        if (context.nowNs < nextNs || !context.leadership.isLeader()) return
-        nextNs = context.nowNs + intervalNs
-        // In a view that is out of date no evidence changes.
+        if (context.nowNs < nextRunNs || !context.leadership.isLeader()) return
+        nextRunNs = context.nowNs + intervalNs
+        // A stale view has no new evidence.
         if (!context.viewFreshness.within(maxViewAgeNs, context.nowNs)) return
         val view = context.view
         val members = view.assignment?.members.orEmpty().map { it.name }
@@ -34,8 +35,8 @@
             .filter { it.phase != MachinePhase.RETIRING }
             .groupingBy { it.zone }
             .eachCount()
-        for (record in health.next(view.zones, evidence, machines, context.nowMs)) {
-            write(record, expectedMachines = evidence[record.zone]?.expected ?: 0)
+        for (record in stateMachine.next(view.zones, evidence, machines, context.nowMs)) {
+            write(record, expectedMachines = evidence[record.zone]?.expectedMachines ?: 0)
         }
     }
 
@@ -67,10 +68,10 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.zones")
 
-        /** The time between two judgements, in heartbeat intervals: evidence changes no faster. */
+        /** The interval between runs, in heartbeat intervals. The evidence changes no faster. */
         const val INTERVAL_HEARTBEATS = 0.25
 
-        /** How old the view may be, in heartbeat intervals. */
+        /** The maximum age of the view, in heartbeat intervals. */
         const val MAX_VIEW_AGE_HEARTBEATS = 1.5
     }
 }
--- a/src/main/kotlin/flaxfield/zones/ZoneRecovery.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneRecovery.kt
@@ -9,37 +9,37 @@
 import flaxfield.store.StoreKeys
 
 /**
- * Answers the schedulers' and the fleet's questions about lost and returning zones from the zones' records. With every
- * zone healthy it changes no decision. Owned by the owner thread.
+ * Applies the zones' records to the decisions of the schedulers and of the fleet. While every zone is healthy, it
+ * changes no decision. Confined to the owner thread.
  */
 class ZoneRecovery(private val context: ControllerContext) {
     private val view = context.view
     private val times = ZoneTimes(context.settings.workers.leaseS)
     private val openMachines = OpenMachines(view)
 
-    /** The operators' rules; a fleet file replaces the default. */
+    /** The operators' rules. A fleet file replaces the default. */
     var rules: ZoneRules = PriorityTiers
 
     private val repeatGuard get() = RepeatGuard(rules) { view.zones[it] }
 
-    /** Whether the loss of any zone is being recovered from. */
+    /** Whether the loss of any zone is still being recovered. */
     val isRecovering: Boolean
         get() = view.zones.isNotEmpty() && view.zones.values.any { it.isRecovering(context.nowMs, times.stableMs) }
 
-    /** Whether [machine] may get new work as far as its zone is concerned. */
+    /** Whether the state of its zone allows [machine] to get new tasks. */
     fun acceptsPlacements(machine: Machine): Boolean {
         val record = view.zones[machine.zone] ?: return true
         if (record.state == ZoneState.HEALTHY) return true
         return !record.isClosed && machine.name in openMachines.names(record)
     }
 
-    /** Whether resources on [machine] may be counted on: its zone is neither suspect nor lost. */
+    /** Whether the resources of [machine] are available: its zone is neither suspect nor lost. */
     fun isReachable(machine: Machine): Boolean = view.zones[machine.zone]?.isClosed != true
 
-    /** Whether [zone] is lost: then the silence of one of its machines needs no further evidence. */
+    /** Whether [zone] is lost. If so, no further evidence is needed that one of its machines is unreachable. */
     fun isLost(zone: String): Boolean = view.zones[zone]?.state == ZoneState.LOST
 
-    /** How many more machines may be rented in [zone] now; [Int.MAX_VALUE] without a limit. */
+    /** Returns how many more machines may be rented in [zone], or [Int.MAX_VALUE] if there is no limit. */
     fun rentableMachines(zone: String): Int {
         val limit = view.zones[zone]?.let(ReturnRamp::limit) ?: return Int.MAX_VALUE
         val rented = view.machines.values.count { it.zone == zone && it.phase == MachinePhase.UP }
@@ -47,7 +47,7 @@
         return (limit - rented - requested).coerceAtLeast(0)
     }
 
-    /** Sorts [jobs] in the order of [RecoveryOrder]. */
+    /** Returns [jobs] in the order of [RecoveryOrder]. */
     fun sort(jobs: Collection<Job>, usage: TeamUsage, overdueBeforeMs: Long): List<Job> {
         val lossMs = view.zones.values.maxOfOrNull { it.lostMs } ?: 0L
         val guaranteed = context.scheduling.guaranteed()
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Whether [machine], which is silent, may be released for that now. In a lost zone machines with the most urgent
-     * tasks are released at once, those of each further tier a stage later, and empty ones last. If the zone returns
-     * between two stages, less urgent tasks are still on their machines and no others have been rented for them.
+     * Whether [machine], which is unreachable, may be released now. In a lost zone, machines with the most urgent tasks
+     * are released at once, those of each further tier one stage later, and empty ones last. If the zone returns
+     * between two stages, the less urgent tasks are still on their machines and no others have been rented for them.
      */
     fun mayReleaseSilent(machine: Machine): Boolean {
         val record = view.zones[machine.zone]?.takeIf { it.state == ZoneState.LOST } ?: return true
@@ -67,12 +67,13 @@
     }
 
     /**
-     * The tier barrier of one scheduling round, where [inFlight] are jobs with unfinished writes; null if none applies.
+     * Returns the tier barrier of one scheduling round, or null if none applies. [inFlight] are jobs with pending
+     * writes.
      */
     fun tierBarrier(inFlight: Collection<Job>): TierBarrier? =
         if (isRecovering) TierBarrier(inFlight) { rules.tier(it.spec) } else null
 
-    /** Whether [job] gets no on-demand machines now, as more urgent jobs are unfinished during a recovery. */
+    /** Whether [job] gets no on-demand machines, because more urgent jobs are unfinished during a recovery. */
     fun isRestrictedToSpot(job: Job): Boolean {
         if (!isRecovering || context.scheduling.isStarved(job)) return false
         val tier = rules.tier(job.spec)
@@ -82,7 +83,7 @@
     private var tiersVersion = -1L
     private var tiers: Set<Int> = emptySet()
 
-    /** The tiers of all unfinished jobs, computed anew when the jobs have changed. */
+    /** Returns the tiers of all unfinished jobs, cached until the jobs change. */
     private fun unfinishedTiers(): Set<Int> {
         if (tiersVersion != view.jobsVersion) tiers = view.jobs.values.mapTo(HashSet()) { rules.tier(it.spec) }
         tiersVersion = view.jobsVersion
@@ -93,7 +94,7 @@
     fun mayReturn(machine: Machine): Boolean =
         view.zones[machine.zone] == null || view.jobsOn(machine.name).none { repeatGuard.isHeld(it, machine.zone) }
 
-    /** Whether [event] must not be committed now. */
+    /** Whether [event] must not be committed yet, see [RepeatGuard.mustDefer]. */
     fun mustDefer(event: TaskEvent): Boolean {
         if (view.zones.isEmpty() || event !is TaskEvent.Lost || !event.outcomeUnknown) return false
         val job = view.jobs[event.job] ?: return false
@@ -101,7 +102,7 @@
         return repeatGuard.mustDefer(job, event, zone)
     }
 
-    /** The keys of the zone records that must not have changed when [events] of [job] are committed. */
+    /** Returns the keys of the zone records that must be unchanged when [events] of [job] are committed. */
     fun fences(job: Job, events: List<TaskEvent>): Set<String> {
         if (!rules.forbidsRepeat(job.spec)) return emptySet()
         val machineNames =
--- a/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
@@ -2,45 +2,54 @@
 
 import flaxfield.MILLIS_PER_SECOND
 
-/** The durations of a zone's states in milliseconds, as ratios to a worker's lease. */
+/** The timeouts and durations of a zone's states in milliseconds, derived from the duration of a worker's lease. */
 class ZoneTimes(leaseS: Double) {
     private val leaseMs = leaseS * MILLIS_PER_SECOND
 
     /**
-     * From suspicion to loss. With [SILENT_LEASES] before it, the silence has then lasted for a whole lease: leases
-     * that were not renewed have expired, and a shorter partition moves nothing.
+     * How long a zone is suspect before it is lost. With the preceding [SILENT_LEASES], this makes a whole lease
+     * without heartbeats: leases that were not renewed have expired, and a shorter partition displaces no tasks.
      */
-    val confirmMs: Long = (leaseMs * (1.0 - SILENT_LEASES)).toLong()
+    val lossConfirmationMs: Long = (leaseMs * (1.0 - SILENT_LEASES)).toLong()
 
-    /** How long a silent zone is left alone before it is tried again: its machines have all been returned by then. */
-    val retryMs: Long = (leaseMs * RETRY_LEASES).toLong()
+    /** How long a zone is lost before it is probed. All its machines have been returned by then. */
+    val probeDelayMs: Long = (leaseMs * PROBE_DELAY_LEASES).toLong()
 
-    /** A zone that has been healthy for this long starts its next return as if it had never failed. */
+    /**
+     * How long after the end of a loss a further loss still counts as a flap. A zone that has been probed for as long
+     * no longer counts as recovering.
+     */
     val stableMs: Long = (leaseMs * STABLE_LEASES).toLong()
 
-    /** How long one step of a return lasts after [relapses]: long enough for each worker to send two heartbeats. */
-    fun stepMs(relapses: Int): Long =
-        (leaseMs * STEP_LEASES * (1.0 + STEP_GROWTH * relapses.coerceAtMost(MAX_RELAPSES))).toLong()
+    /** Returns how long a step of a return lasts: long enough for each worker to send two heartbeats. */
+    fun stepMs(flapCount: Int): Long =
+        (leaseMs * STEP_LEASES * (1.0 + STEP_GROWTH_PER_FLAP * flapCount.coerceAtMost(MAX_FLAP_COUNT))).toLong()
 
-    /** How long after a loss a machine is released if [tiers] tiers are more urgent than the tasks on it. */
-    fun releaseDelayMs(tiers: Int): Long = (leaseMs * STAGE_LEASES * minOf(tiers, MAX_STAGES)).toLong()
+    /** Returns how long after a loss a machine is released if [moreUrgentTiers] tiers precede its tasks. */
+    fun releaseDelayMs(moreUrgentTiers: Int): Long =
+        (leaseMs * STAGE_LEASES * minOf(moreUrgentTiers, MAX_STAGES)).toLong()
 
     companion object {
-        /** A machine without a heartbeat for this share of a lease, about two heartbeat intervals, counts as silent. */
+        /**
+         * A machine counts as unreachable after this share of a lease without a heartbeat, which is about two heartbeat
+         * intervals.
+         */
         const val SILENT_LEASES = 0.4
 
-        /** Relapses beyond this number make no difference. */
-        const val MAX_RELAPSES = 2
+        /** Flaps beyond this number make the steps no longer. */
+        const val MAX_FLAP_COUNT = 2
 
         private const val STEP_LEASES = 0.5
-        private const val RETRY_LEASES = 6.0
+        private const val PROBE_DELAY_LEASES = 6.0
         private const val STABLE_LEASES = 10.0
 
-        /** Two stages take about as long as a boot and an image fetch: by then a machine rented elsewhere is up. */
+        /**
+         * Two stages last about as long as a boot and an image fetch, so that a machine rented elsewhere is up by then.
+         */
         private const val STAGE_LEASES = 1.0
         private const val MAX_STAGES = 2
 
-        /** How much longer a step takes with each relapse: work that is bound to the zone waits for it. */
-        private const val STEP_GROWTH = 0.25
+        /** The growth of a step per flap, small because tasks bound to the zone wait for its return. */
+        private const val STEP_GROWTH_PER_FLAP = 0.25
     }
 }
--- a/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test
 import kotlin.random.Random
 
-/** With all zones healthy, a controller that watches them decides as one that does not. */
+/** While all zones are healthy, a controller that monitors zones decides like one that does not. */
 class HealthyZonesTest {
     private val clock = object : Clock {
         override fun steadyNs() = 1L
@@ -40,7 +40,7 @@
             taskCount = random.nextInt(1, 6),
             priority = Priority.entries.random(random),
             team = listOf("red", "blue").random(random),
-            jobClass = listOf("deed", "night").random(random),
+            jobClass = listOf("service", "batch").random(random),
         )
         val job = Samples.job(spec, atMs = NOW_MS - random.nextLong(0, 200_000))
         if (random.nextBoolean()) job.place(mapOf(0 to Job.Target("host-${random.nextInt(12)}", 1uL))) else job
@@ -73,6 +73,7 @@
         return context
     }
 
+    /** Returns every decision that may depend on the state of the zones. */
     private fun plan(context: ControllerContext): List<Any?> {
         val view = context.view
         val machines = view.machines.values.sortedBy { it.name }
@@ -89,39 +90,39 @@
     }
 
     @Test
-    fun `plans are equal without records, and with zones that are healthy again`() {
-        val healthy = ZoneRecord.healthy("a", 0).copy(incarnation = 3, lostMs = 1_000, endedMs = 2_000, machines = 6)
+    fun `records of healthy zones change no decision`() {
+        val healthy = ZoneRecord.healthy("a", 0).copy(incarnation = 3, lostMs = 1_000, lossEndedMs = 2_000, machines = 6)
         for (seed in 1..50) {
             val expected = plan(context(seed, null))
             assertEquals(expected, plan(context(seed, emptyList())), "seed $seed")
             assertEquals(expected, plan(context(seed, listOf(healthy))), "seed $seed")
         }
-        // The plans can differ: a lost zone changes them.
+        // Cross-check: a lost zone does change the plan.
         val lost = healthy.copy(state = ZoneState.LOST)
         assertNotEquals(plan(context(1, null)), plan(context(1, listOf(lost))))
     }
 
     @Test
-    fun `a lost zone gets no work, and its most urgent machines are released first`() {
+    fun `a lost zone gets no tasks and releases the machines with the most urgent tasks first`() {
         val lost = ZoneRecord.healthy("a", NOW_MS).copy(state = ZoneState.LOST, incarnation = 1, machines = 6)
         val context = context(1, listOf(lost))
-        val inside = context.view.machines.values.filter { it.zone == "a" }
-        assertTrue(inside.none { context.zones?.acceptsPlacements(it) ?: true })
+        val lostMachines = context.view.machines.values.filter { it.zone == "a" }
+        assertTrue(lostMachines.none { context.zones?.acceptsPlacements(it) ?: true })
         assertEquals(0, context.zones?.rentableMachines("a"))
         val tier = { name: String ->
             context.view.jobsOn(name).minOfOrNull { PriorityTiers.tier(it.spec) } ?: Int.MAX_VALUE
         }
-        val released = inside.filter { context.zones?.mayReleaseSilent(it) ?: false }
+        val released = lostMachines.filter { context.zones?.mayReleaseSilent(it) ?: false }
         assertTrue(
             released.isNotEmpty() &&
-                released.size < inside.size &&
-                released.maxOf { tier(it.name) } < inside.maxOf { tier(it.name) },
+                released.size < lostMachines.size &&
+                released.maxOf { tier(it.name) } < lostMachines.maxOf { tier(it.name) },
             "$released",
         )
-        val order = ScaleInOrder.sort(context, inside).map { tier(it.name) }
+        val order = ScaleInOrder.sort(context, lostMachines).map { tier(it.name) }
         assertEquals(order.sorted(), order)
         val event = TaskEvent.Lost("job-1", 0, 1, "host-0", "machine returned", failed = false, outcomeUnknown = true)
-        // Without a fleet file no class forbids a repeat.
+        // Without a fleet file, no class forbids repeats.
         assertEquals(false, context.zones?.mustDefer(event))
     }
 
--- a/src/test/kotlin/flaxfield/zones/RecoveryOrderTest.kt
+++ b/src/test/kotlin/flaxfield/zones/RecoveryOrderTest.kt
@@ -23,10 +23,10 @@
     }
 
     @Test
-    fun `order is by tier, guarantee, team share and age, with overdue jobs first`() {
+    fun `sorts overdue jobs first, then by tier, guarantee, team share and age`() {
         val jobs = listOf(
-            job("night", "red", Priority.IDLE, 1_000),
-            job("within", "blue", Priority.STANDARD, 9_000),
+            job("idle", "red", Priority.IDLE, 1_000),
+            job("within-guarantee", "blue", Priority.STANDARD, 9_000),
             job("red-1", "red", Priority.STANDARD, 2_000, tasks = 4),
             job("red-2", "red", Priority.STANDARD, 3_000, tasks = 4),
             job("blue-1", "blue", Priority.STANDARD, 4_000, tasks = 2),
@@ -34,14 +34,14 @@
             job("urgent", "blue", Priority.HIGH, 8_000),
         )
         assertEquals(
-            listOf("urgent", "within", "red-1", "red-2", "blue-1", "blue-2", "night"),
-            order(jobs, setOf("within")),
+            listOf("urgent", "within-guarantee", "red-1", "red-2", "blue-1", "blue-2", "idle"),
+            order(jobs, setOf("within-guarantee")),
         )
-        assertEquals("night", order(jobs, setOf("within"), overdueBeforeMs = 1_500).first())
+        assertEquals("idle", order(jobs, setOf("within-guarantee"), overdueBeforeMs = 1_500).first())
     }
 
     @Test
-    fun `displaced jobs count as waiting since the loss`() {
+    fun `the age of displaced jobs counts from the loss`() {
         val displaced = job("displaced", "red", Priority.STANDARD, 1_000)
             .place(mapOf(0 to Job.Target("h", 1uL)))
             .free(listOf(0))
--- a/src/test/kotlin/flaxfield/zones/RepeatGuardTest.kt
+++ b/src/test/kotlin/flaxfield/zones/RepeatGuardTest.kt
@@ -10,32 +10,32 @@
 
 class RepeatGuardTest {
     @Test
-    fun `tasks that may have finished unreported in a lost zone are held until they are abandoned`() {
+    fun `holds tasks that may have finished unreported in a lost zone until they are abandoned`() {
         val rules = object : ZoneRules {
             var abandoned = false
 
             override fun tier(spec: JobSpec) = 0
 
-            override fun forbidsRepeat(spec: JobSpec) = spec.jobClass == "deed"
+            override fun forbidsRepeat(spec: JobSpec) = spec.jobClass == "at-most-once"
 
             override fun isAbandoned(job: Job, zone: String, incarnation: Long) = abandoned
         }
-        val deed = Samples.job(Samples.spec(id = "job-1", jobClass = "deed")).copy(submittedMs = 5_000)
-        val unknown = TaskEvent.Lost("job-1", 0, 1, "host-1", "tenure 2", failed = false, outcomeUnknown = true)
-        val known = unknown.copy(reason = "error", outcomeUnknown = false)
+        val atMostOnceJob = Samples.job(Samples.spec(id = "job-1", jobClass = "at-most-once")).copy(submittedMs = 5_000)
+        val unknownOutcome = TaskEvent.Lost("job-1", 0, 1, "host-1", "tenure 2", failed = false, outcomeUnknown = true)
+        val knownOutcome = unknownOutcome.copy(reason = "error", outcomeUnknown = false)
         val base = ZoneRecord.healthy("a", 0).copy(incarnation = 1)
-        fun held(record: ZoneRecord?, event: TaskEvent = unknown, job: Job = deed) =
+        fun isHeld(record: ZoneRecord?, event: TaskEvent = unknownOutcome, job: Job = atMostOnceJob) =
             RepeatGuard(rules) { record }.mustDefer(job, event, "a")
-        for (state in listOf(ZoneState.SUSPECT, ZoneState.LOST)) assertTrue(held(base.copy(state = state)), "$state")
-        // Submitted before the loss ended: its task may have run then, whatever the zone is now.
-        assertTrue(held(base.copy(endedMs = 6_000)))
-        assertFalse(held(base.copy(endedMs = 4_000)))
-        assertFalse(held(null))
-        assertFalse(held(base.copy(state = ZoneState.LOST), known))
-        assertFalse(held(base.copy(state = ZoneState.LOST), job = deed.copy(cancelledMs = 1)))
+        for (state in listOf(ZoneState.SUSPECT, ZoneState.LOST)) assertTrue(isHeld(base.copy(state = state)), "$state")
+        // Submitted before the loss ended: the task may have run during the loss, whatever the current state.
+        assertTrue(isHeld(base.copy(lossEndedMs = 6_000)))
+        assertFalse(isHeld(base.copy(lossEndedMs = 4_000)))
+        assertFalse(isHeld(null))
+        assertFalse(isHeld(base.copy(state = ZoneState.LOST), knownOutcome))
+        assertFalse(isHeld(base.copy(state = ZoneState.LOST), job = atMostOnceJob.copy(cancelledMs = 1)))
         val repeatable = Samples.job(Samples.spec(id = "job-1")).copy(submittedMs = 5_000)
-        assertFalse(held(base.copy(state = ZoneState.LOST), job = repeatable))
+        assertFalse(isHeld(base.copy(state = ZoneState.LOST), job = repeatable))
         rules.abandoned = true
-        assertFalse(held(base.copy(state = ZoneState.LOST)))
+        assertFalse(isHeld(base.copy(state = ZoneState.LOST)))
     }
 }
--- a/src/test/kotlin/flaxfield/zones/ZoneChecker.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneChecker.kt
@@ -8,30 +8,28 @@
 import kotlin.math.pow
 
 /**
- * Judges a recovery by what the stand-in workers and the stand-in cloud have seen, with none of the planner's code:
- * which machines were returned when, which tasks started where and how often.
+ * Checks a recovery against the observations of the simulated workers and cloud, independently of the planner's code:
+ * when each machine was returned, and when and where each task started.
  *
- * Tolerances. A task moves only on proof, and proofs reach the leader with summaries and writes: a machine may be
- * returned up to [RETURN_TOLERANCE_S] before one with more urgent tasks, and a less urgent start counts as ahead of a
- * more urgent task only if that had been gone for [START_TOLERANCE_S], and starts more than that later: images take up
- * to 2 s. Jobs of which nothing runs come before all tiers two minutes after their submission: the order is judged
- * until then.
+ * The checks have tolerances, because a task is restarted only after its end is proven, and the proof reaches the
+ * leader through summaries and writes:
+ * - A machine may be returned up to [RETURN_TOLERANCE_S] before one with more urgent tasks.
+ * - A task may start up to [START_TOLERANCE_S] after the machine of a more urgent task was returned, or up to
+ *   [START_TOLERANCE_S] before that task starts: image fetches take up to 2 s.
+ * - The order of starts is checked until [OVERDUE_S], since overdue jobs precede all tiers.
  */
 class ZoneChecker(
     private val cluster: SimCluster,
     private val zone: String,
-    /**
-     * The states that the zone was called, with their times: without a loss there is no return, and a recovery ends
-     * with it.
-     */
+    /** The states of the zone's record, with their times. They show when the zone was lost and when it recovered. */
     private val states: List<Pair<Double, String>>,
 ) : TaskWatcher {
-    private class Start(val atS: Double, val task: String, val jobClass: String, val machineName: String, val zone: String)
+    private class TaskStart(val atS: Double, val task: String, val jobClass: String, val machineName: String, val zone: String)
 
-    /** A loss, and what ran in the zone when it came. */
+    /** A loss, with the tasks that ran in the zone at that time and their classes. */
     private class Loss(val atS: Double, val displaced: Map<String, SimMachine>, val classes: Map<String, String>, val machines: Int)
 
-    private val starts = ArrayList<Start>()
+    private val starts = ArrayList<TaskStart>()
     private val running = HashMap<String, SimMachine>()
     private val classOf = HashMap<String, String>()
     private val doneAt = HashMap<String, Double>()
@@ -39,17 +37,17 @@
     private val losses = ArrayList<Loss>()
     private val healedAt = ArrayList<Double>()
 
-    /** Classes whose tasks may be repeated again, since when. */
+    /** When each job class was abandoned, so that its tasks may be restarted. */
     private val abandonedAt = HashMap<String, Double>()
     private val now get() = cluster.loop.nowS
 
-    private fun name(spec: JobSpec, index: Int) = "${spec.id}/$index"
+    private fun taskName(spec: JobSpec, index: Int) = "${spec.id}/$index"
 
     override fun starts(spec: JobSpec, index: Int, machine: SimMachine) {
-        val task = name(spec, index)
+        val task = taskName(spec, index)
         classOf[task] = spec.jobClass
         running[task] = machine
-        starts += Start(now, task, spec.jobClass, machine.machineName, machine.zone)
+        starts += TaskStart(now, task, spec.jobClass, machine.machineName, machine.zone)
     }
 
     override fun runs(spec: JobSpec, index: Int) = Unit
@@ -57,66 +55,69 @@
     override fun halted(spec: JobSpec, index: Int, gracePeriodS: Double) = Unit
 
     override fun left(spec: JobSpec, index: Int) {
-        running -= name(spec, index)
+        running -= taskName(spec, index)
     }
 
     override fun done(spec: JobSpec, index: Int) {
-        doneAt[name(spec, index)] = now
+        doneAt[taskName(spec, index)] = now
     }
 
-    fun returned(machines: List<SimMachine>) {
+    /** Records that [machines] were returned to the cloud. */
+    fun recordReturned(machines: List<SimMachine>) {
         for (machine in machines) returnedAt.putIfAbsent(machine.machineName, now)
     }
 
-    /** The zone falls away now. */
-    fun lost() {
+    /** Records that the zone is lost now. */
+    fun recordLoss() {
         val displaced = running.filterValues { it.zone == zone }
         val machines = cluster.cloud.workers.values.count { it.machine.zone == zone }
         losses += Loss(now, displaced, displaced.keys.associateWith { classOf.getValue(it) }, machines)
     }
 
-    /** The zone is reachable again now. */
-    fun healed() {
+    /** Records that the zone is reachable again now. */
+    fun recordHealed() {
         healedAt += now
     }
 
-    fun abandoned(jobClass: String) {
+    /** Records that operators abandon the tasks of [jobClass] now. */
+    fun recordAbandoned(jobClass: String) {
         abandonedAt[jobClass] = now
     }
 
-    /** How many tasks ran in the zone at the first loss, by class. */
-    val displaced: Map<String, Int> get() = losses.first().classes.values.groupingBy { it }.eachCount()
+    /** How many tasks ran in the zone at the first loss, by job class. */
+    val displacedByClass: Map<String, Int> get() = losses.first().classes.values.groupingBy { it }.eachCount()
 
     /** How many machines the zone had at its first loss. */
     val machinesLost: Int get() = losses.first().machines
 
-    /** When the last task of [job] that was displaced by the first loss started again. */
-    fun restartedS(job: String): Double = losses.first().let { loss ->
+    /** Returns when the last of the tasks of [job] displaced by the first loss was restarted. */
+    fun lastRestartS(job: String): Double = losses.first().let { loss ->
         loss.displaced.keys.filter { it.startsWith("$job/") }.maxOf { restart(loss, it) ?: Double.MAX_VALUE }
     }
 
-    /** How many machines of the zone had new work after its first return. */
-    val ramped: Int get() = starts.filter {
+    /** How many machines of the zone got new tasks after its first return. */
+    val machinesUsedAfterReturn: Int get() = starts.filter {
         it.zone == zone && it.atS > healedAt.first()
     }.distinctBy { it.machineName }.size
 
-    /** When the last of the displaced tasks of each tier ran again, seconds after the first loss. */
-    fun recoveredS(): Map<Int, Double> = losses.first().let { loss ->
-        loss.classes.entries.groupBy({ ZoneDay.tier(it.value) }, { restart(loss, it.key) })
+    /** Returns by tier how long after the first loss the last displaced task was restarted, in seconds. */
+    fun recoveryTimesS(): Map<Int, Double> = losses.first().let { loss ->
+        loss.classes.entries.groupBy({ ZoneScenario.tier(it.value) }, { restart(loss, it.key) })
             .mapValues { (_, times) -> times.filterNotNull().maxOfOrNull { it - loss.atS } ?: 0.0 }
     }
 
+    /** Returns when [task] was first started after [loss], or null. */
     private fun restart(loss: Loss, task: String): Double? = starts.firstOrNull {
         it.task == task && it.atS > loss.atS
     }?.atS
 
-    fun violations(): List<String> = losses.flatMap { returnOrder(it) + startOrder(it) + repeats(it) } + ramps() + secondWave()
+    fun violations(): List<String> = losses.flatMap { returnOrder(it) + startOrder(it) + repeats(it) } + ramps() + repeatedDisplacements()
 
-    /** Machines with more urgent tasks are given up first. */
+    /** Checks that machines with more urgent tasks are returned first. */
     private fun returnOrder(loss: Loss): List<String> {
         val tierOf = loss.displaced.entries.groupBy({
             it.value.machineName
-        }, { ZoneDay.tier(loss.classes.getValue(it.key)) }).mapValues { it.value.min() }
+        }, { ZoneScenario.tier(loss.classes.getValue(it.key)) }).mapValues { it.value.min() }
         val heldMachines = loss.displaced.filterKeys {
             loss.classes[it] == "deed"
         }.values.mapTo(HashSet()) { it.machineName }
@@ -133,14 +134,15 @@
                     later > at + RETURN_TOLERANCE_S
             }
                 .map { (other, later) ->
-                    "order: $machineName, tier ${tierOf[machineName]}, returned at $at, $other, tier ${tierOf[other]}, only at $later"
+                    "return order: $machineName (tier ${tierOf[machineName]}) was returned at $at, " +
+                        "before $other (tier ${tierOf[other]}) at $later"
                 }
         }
     }
 
     /**
-     * While a more urgent task is known to be gone and waits, no less urgent one starts. All take the same room on any
-     * machine.
+     * Checks that no task starts while a more urgent one that is known to have ended waits. All tasks need the same
+     * resources.
      */
     private fun startOrder(loss: Loss): List<String> {
         val waits = loss.displaced.mapNotNull { (task, machine) ->
@@ -149,55 +151,58 @@
             Triple(task, from + START_TOLERANCE_S, until)
         }
         val healthyS = states.firstOrNull { it.first > loss.atS && it.second == "healthy" }?.first ?: Double.MAX_VALUE
-        val nextS = losses.firstOrNull { it.atS > loss.atS }?.atS ?: Double.MAX_VALUE
-        val until = minOf(healthyS, nextS, LATE_S)
+        val nextLossS = losses.firstOrNull { it.atS > loss.atS }?.atS ?: Double.MAX_VALUE
+        val until = minOf(healthyS, nextLossS, OVERDUE_S)
         return starts.filter { it.atS > loss.atS && it.atS < until }.flatMap { start ->
             waits.filter { (task, from, until) ->
-                ZoneDay.tier(classOf.getValue(task)) < ZoneDay.tier(start.jobClass) &&
+                ZoneScenario.tier(classOf.getValue(task)) < ZoneScenario.tier(start.jobClass) &&
                     start.atS > from &&
                     start.atS + START_TOLERANCE_S < until
-            }.map { (task, from) -> "order: ${start.task} starts at ${start.atS} while $task waits since $from" }
+            }.map { (task, from) ->
+                "start order: ${start.task} starts at ${start.atS}, while the more urgent $task waits since $from"
+            }
         }
     }
 
-    /** What may have ended, or may still run, is not started again if its class forbids it. */
+    /** Checks that tasks of a class that forbids repeats are not restarted before they are abandoned. */
     private fun repeats(loss: Loss): List<String> = loss.classes.filterValues { it == "deed" }.keys.mapNotNull { task ->
-        val again = restart(loss, task) ?: return@mapNotNull null
-        val allowedFrom = abandonedAt["deed"] ?: Double.MAX_VALUE
-        if (again < allowedFrom) "repeat: $task of a class that forbids it starts again at $again" else null
+        val restartS = restart(loss, task) ?: return@mapNotNull null
+        val allowedFromS = abandonedAt["deed"] ?: Double.MAX_VALUE
+        if (restartS < allowedFromS) "repeat: $task is restarted at $restartS although its class forbids it" else null
     }
 
     /**
-     * New work in a zone that returns stays on a share of its machines that doubles no faster than each half of a
+     * Checks that new tasks in a returning zone use only a share of its machines, which doubles at most every half of a
      * lease.
      */
     private fun ramps(): List<String> = healedAt.withIndex().flatMap { (n, from) ->
         val loss = losses[n]
         if (states.lastOrNull { it.first <= from }?.second != "lost") return@flatMap emptyList()
         val until = losses.getOrNull(n + 1)?.atS ?: Double.MAX_VALUE
-        val seen = HashSet<String>()
+        val used = HashSet<String>()
         starts.filter { it.zone == zone && it.atS > from && it.atS < until }.mapNotNull { start ->
-            seen += start.machineName
+            used += start.machineName
             val steps = ((start.atS - from) / (SimCluster.LEASE_S / 2)).toInt()
             val allowed = maxOf(2, ceil(losses.maxOf { it.machines } / 8.0 * 2.0.pow(steps)).toInt())
-            if (seen.size >
-                allowed
-            ) {
-                "ramp: ${seen.size} machines have new work ${start.atS - from} s after the return, $allowed may"
+            if (used.size > allowed) {
+                "ramp: ${used.size} machines have new tasks ${start.atS - from} s after the return, the limit is $allowed"
             } else {
                 null
             }
         }
     }
 
-    /** What runs elsewhere stays there, whatever the zone does next. */
-    private fun secondWave(): List<String> = losses.drop(1).flatMap { loss ->
+    /** Checks that a further loss displaces no task that was running in another zone. */
+    private fun repeatedDisplacements(): List<String> = losses.drop(1).flatMap { loss ->
         starts.filter {
-            it.atS < loss.atS && it.zone != zone && restartedElsewhere(it, loss)
-        }.map { "second wave: ${it.task} on ${it.machineName} moves" }
+            it.atS < loss.atS && it.zone != zone && isDisplacedAgain(it, loss)
+        }.map { "repeated displacement: ${it.task} leaves ${it.machineName}" }
     }
 
-    private fun restartedElsewhere(start: Start, loss: Loss): Boolean {
+    /**
+     * Whether [start] was the last one of its task before [loss], and the unfinished task was started again after it.
+     */
+    private fun isDisplacedAgain(start: TaskStart, loss: Loss): Boolean {
         val lastBefore = starts.last { it.task == start.task && it.atS < loss.atS }
         return lastBefore === start &&
             (doneAt[start.task] ?: Double.MAX_VALUE) > loss.atS &&
@@ -208,7 +213,7 @@
         const val RETURN_TOLERANCE_S = 2.0
         const val START_TOLERANCE_S = 4.0
 
-        /** The first jobs are submitted two seconds into the day. */
-        const val LATE_S = 122.0
+        /** When the first jobs are overdue: two minutes after their submission at 2 s. */
+        const val OVERDUE_S = 122.0
     }
 }
--- a/src/test/kotlin/flaxfield/zones/ZoneMeasurement.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneMeasurement.kt
@@ -12,15 +12,16 @@
 import flaxfield.sim.SimUser
 import flaxfield.sim.TaskWatcher
 
-/** One cluster in three zones of which one is cut off, and how its work recovers. */
-private class MeasuredLoss(private val machines: Int, private val isOn: Boolean, private val cutS: Double) : TaskWatcher {
+/** Measures how the tasks of one of three zones recover when the zone is partitioned twice. */
+private class ZoneLossMeasurement(private val machines: Int, private val hasFleetFile: Boolean, private val partitionS: Double) :
+    TaskWatcher {
     private val cluster = SimCluster(
         seed = machines,
-        // Two zones hold four fifths of the work.
+        // Two zones have the capacity for four fifths of the tasks.
         machinesPerZone = machines * 2 / 5,
         limits = StateLimits(maxOf(150.0, machines * 0.5), maxOf(60.0, machines * 0.05), 32.0, 24),
         teams = TEAMS.map { Samples.team(it, gpus = machines * 4.0 / TEAMS.size) },
-        fleet = { if (isOn) ZoneDay.CONFIG else null },
+        fleet = { if (hasFleetFile) ZoneScenario.CONFIG else null },
         zones = listOf("a", "b", "c"),
         machineZones = listOf("a", "b", "c"),
         operator = OperatorSettings(),
@@ -29,21 +30,21 @@
     private val running = HashMap<String, SimMachine>()
     private val classOf = HashMap<String, String>()
     private val displaced = HashMap<String, String>()
-    private val againS = HashMap<String, Double>()
-    private val startsAfter = HashMap<String, Int>()
-    private var lostS = Double.MAX_VALUE
-    private var secondS = Double.MAX_VALUE
-    private var secondWave = 0
-    private val elsewhere = HashSet<String>()
+    private val restartedAfterS = HashMap<String, Double>()
+    private val startCounts = HashMap<String, Int>()
+    private var lossS = Double.MAX_VALUE
+    private var secondLossS = Double.MAX_VALUE
+    private var displacedAgain = 0
+    private val runningElsewhere = HashSet<String>()
 
     override fun starts(spec: JobSpec, index: Int, machine: SimMachine) {
         val task = "${spec.id}/$index"
         classOf[task] = spec.jobClass
         running[task] = machine
-        if (loop.nowS < lostS) return
-        startsAfter.merge(task, 1, Int::plus)
-        if (task in displaced) againS.putIfAbsent(task, loop.nowS - lostS)
-        if (loop.nowS > secondS && task in elsewhere) secondWave++
+        if (loop.nowS < lossS) return
+        startCounts.merge(task, 1, Int::plus)
+        if (task in displaced) restartedAfterS.putIfAbsent(task, loop.nowS - lossS)
+        if (loop.nowS > secondLossS && task in runningElsewhere) displacedAgain++
     }
 
     override fun runs(spec: JobSpec, index: Int) = Unit
@@ -66,7 +67,7 @@
                 taskCount = size,
                 priority = priority,
                 team = TEAMS[n % 4],
-                taskResources = NEED,
+                taskResources = TASK_RESOURCES,
                 jobClass = jobClass,
             )
             spec.copy(expectedRuntimeS = 1e6, imageGb = 1.0, checkpointIntervalS = 0.0, checkpointDurationS = 0.0)
@@ -77,65 +78,65 @@
         cluster.invariants.watcher = this
         for (i in cluster.controllerNames.indices) loop.after(i * 150 * SimLoop.MS) { cluster.boot(i) }
         val jobs = jobs()
-        for ((n, j) in jobs.withIndex()) {
+        for ((n, job) in jobs.withIndex()) {
             loop.after(
                 (2_000 + 60L * n) * SimLoop.MS,
-                SimUser(cluster, cluster.job(j))::submit,
+                SimUser(cluster, cluster.job(job))::submit,
             )
         }
         cluster.watch(1e9)
         val tasks = jobs.sumOf { it.taskCount }
-        while (running.size < tasks * FILLED && loop.nowS < FILL_S) loop.runUntil(loop.nowS + 1.0)
+        while (running.size < tasks * MIN_RUNNING_SHARE && loop.nowS < MAX_FILL_S) loop.runUntil(loop.nowS + 1.0)
         val machinesRented = cluster.cloud.machinesRented
-        lose()
-        loop.runUntil(lostS + cutS)
+        loseZone()
+        loop.runUntil(lossS + partitionS)
         cluster.network.zoneCut = null
-        loop.runUntil(lostS + cutS + PAUSE_S)
-        elsewhere += running.filterValues { it.zone != LOST }.keys
-        secondS = loop.nowS
-        cluster.network.zoneCut = LOST
-        loop.runUntil(secondS + cutS)
+        loop.runUntil(lossS + partitionS + RECONNECTED_S)
+        runningElsewhere += running.filterValues { it.zone != LOST_ZONE }.keys
+        secondLossS = loop.nowS
+        cluster.network.zoneCut = LOST_ZONE
+        loop.runUntil(secondLossS + partitionS)
         cluster.network.zoneCut = null
-        loop.runUntil(secondS + cutS + END_S)
-        heartbeat(tasks, machinesRented)
+        loop.runUntil(secondLossS + partitionS + SETTLE_S)
+        printReport(tasks, machinesRented)
     }
 
-    private fun lose() {
-        lostS = loop.nowS
-        for ((task, machine) in running) if (machine.zone == LOST) displaced[task] = classOf.getValue(task)
-        cluster.network.zoneCut = LOST
-        // The leader ends ten seconds after the loss, and so does the next one.
-        for (s in listOf(CRASH_AFTER_S, CRASH_AFTER_S * 2)) {
+    private fun loseZone() {
+        lossS = loop.nowS
+        for ((task, machine) in running) if (machine.zone == LOST_ZONE) displaced[task] = classOf.getValue(task)
+        cluster.network.zoneCut = LOST_ZONE
+        // The leader fails ten seconds after the loss, and the next one ten seconds later.
+        for (s in listOf(LEADER_FAILURE_S, LEADER_FAILURE_S * 2)) {
             loop.after((s * SimLoop.SECOND).toLong()) {
                 cluster.kill(cluster.leader, 3.0)
             }
         }
     }
 
-    private fun heartbeat(tasks: Int, rentedBefore: Int) {
-        println("machines=$machines on=$isOn tasks=$tasks displaced=${displaced.size} cut=$cutS s, twice")
-        for ((tier, list) in displaced.entries.groupBy { ZoneDay.tier(it.value) }.toSortedMap()) {
-            val again = list.mapNotNull { againS[it.key] }.sorted()
-            val middle = again.getOrNull(again.size / 2) ?: Double.NaN
+    private fun printReport(tasks: Int, rentedBefore: Int) {
+        println("machines=$machines fleet_file=$hasFleetFile tasks=$tasks displaced=${displaced.size} partition=$partitionS s, twice")
+        for ((tier, list) in displaced.entries.groupBy { ZoneScenario.tier(it.value) }.toSortedMap()) {
+            val restartTimesS = list.mapNotNull { restartedAfterS[it.key] }.sorted()
+            val medianS = restartTimesS.getOrNull(restartTimesS.size / 2) ?: Double.NaN
             println(
-                "  tier $tier: %d of %d run again, half after %.0f s, the last after %.0f s".format(
-                    again.size,
+                "  tier $tier: %d of %d restarted, median %.0f s, maximum %.0f s".format(
+                    restartTimesS.size,
                     list.size,
-                    middle,
-                    again.lastOrNull() ?: Double.NaN,
+                    medianS,
+                    restartTimesS.lastOrNull() ?: Double.NaN,
                 ),
             )
         }
-        val repeated = startsAfter.filterKeys { it in displaced }.values.count { it > 1 }
+        val restartedRepeatedly = startCounts.filterKeys { it in displaced }.values.count { it > 1 }
         println(
-            "  started more than once after the loss: $repeated; second wave: $secondWave; " +
-                "rented after it: ${cluster.cloud.machinesRented - rentedBefore}",
+            "  restarted more than once: $restartedRepeatedly; displaced again: $displacedAgain; " +
+                "machines rented after the loss: ${cluster.cloud.machinesRented - rentedBefore}",
         )
-        println("  broken=${cluster.invariants.violations.take(3) + cluster.store.violations.take(3)}")
-        fairness()
+        println("  violations=${cluster.invariants.violations.take(3) + cluster.store.violations.take(3)}")
+        printFairness()
     }
 
-    private fun fairness() {
+    private fun printFairness() {
         val snapshot =
             cluster.fleetControls.filterNotNull().maxByOrNull { it.publisher.current.revision }?.publisher?.current
                 ?: return
@@ -147,28 +148,29 @@
             FleetZoneRules { snapshot },
         ).shares()
         println(
-            "  distance from the fair part at the end: " +
+            "  shortfall from the fair share at the end: " +
                 shares.joinToString { "%s %.0f %%".format(it.team, it.shortfall * 100) },
         )
     }
 
     private companion object {
-        val TEAMS = ZoneDay.TEAMS
-        val NEED = Resources(4.0, 1.0, 16.0)
-        const val LOST = "c"
-        const val FILLED = 0.95
-        const val FILL_S = 300.0
-        const val PAUSE_S = 10.0
-        const val END_S = 120.0
-        const val CRASH_AFTER_S = 10.0
+        val TEAMS = ZoneScenario.TEAMS
+        val TASK_RESOURCES = Resources(4.0, 1.0, 16.0)
+        const val LOST_ZONE = "c"
+        const val MIN_RUNNING_SHARE = 0.95
+        const val MAX_FILL_S = 300.0
+        const val RECONNECTED_S = 10.0
+        const val SETTLE_S = 120.0
+        const val LEADER_FAILURE_S = 10.0
     }
 }
 
 /**
- * Measures a zone's loss outside CI: `ZoneMeasurementKt MACHINES CUT_S [off]`. Two leaders end in the loss; the zone is
- * cut a second time ten seconds after it is back. With `off` the same without a fleet file.
+ * Measures the recovery from a zone loss outside CI: `ZoneMeasurementKt MACHINES PARTITION_S [off]`. Two leaders fail
+ * during the loss, and the zone is partitioned again ten seconds after the partition heals. With `off`, there is no
+ * fleet file.
  */
 fun main(arguments: Array<String>) {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error")
-    MeasuredLoss(arguments[0].toInt(), arguments.size < 3, arguments[1].toDouble()).run()
+    ZoneLossMeasurement(arguments[0].toInt(), arguments.size < 3, arguments[1].toDouble()).run()
 }
--- a/src/test/kotlin/flaxfield/zones/ZoneSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneSimulationTest.kt
@@ -12,17 +12,18 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * Zones that fall away and come back while controllers fail; judged by a checker that shares no code with the planner.
+ * Losses and returns of a zone together with failures of controllers and of the store. [ZoneChecker], which shares no
+ * code with the planner, checks each recovery.
  */
 class ZoneSimulationTest {
-    private fun assertRecovered(day: ZoneDay, vararg unfinished: String) {
-        assertEquals(emptyList<String>(), day.violations().take(8), "${day.states}")
-        assertEquals(unfinished.toList(), day.unfinished(), "${day.states}")
-        // A day on which nothing was displaced shows nothing.
-        assertTrue(day.checker.displaced.size >= 3, "${day.checker.displaced}")
+    private fun assertRecovered(scenario: ZoneScenario, vararg unfinished: String) {
+        assertEquals(emptyList<String>(), scenario.violations().take(8), "${scenario.states}")
+        assertEquals(unfinished.toList(), scenario.unfinished(), "${scenario.states}")
+        // A scenario that displaces no tasks proves nothing.
+        assertTrue(scenario.checker.displacedByClass.size >= 3, "${scenario.checker.displacedByClass}")
     }
 
-    private fun states(day: ZoneDay) = day.states.map { it.second }
+    private fun states(scenario: ZoneScenario) = scenario.states.map { it.second }
 
     @ParameterizedTest
     @CsvSource(
@@ -32,63 +33,64 @@
         "4, a c c, 14, 45.0",
         "8, a b c, 8, 150.0",
     )
-    fun `urgent work of a lost zone runs elsewhere first, and the zone returns by steps`(
+    fun `restarts the most urgent tasks of a lost zone first, and the zone returns in steps`(
         seed: Int,
         controllers: String,
         machinesPerZone: Int,
-        cutS: Double,
+        partitionS: Double,
     ) {
-        val day = ZoneDay(ZonePlan(seed, controllers.split(' '), machinesPerZone))
-        day.cut(60.0, cutS)
-        day.run(END_S)
-        assertRecovered(day)
-        // Where the work has found room or is over, nothing is rented there again, and the zone stays on trial.
-        val end = if (machinesPerZone == ZoneDay.SCARCE && cutS < 100.0) listOf("healthy") else emptyList()
-        assertEquals(listOf("suspect", "lost", "returning") + end, states(day))
-        val recovered = day.checker.recoveredS()
-        assertTrue(recovered.getValue(0) <= recovered.getValue(5), "$recovered")
+        val scenario = ZoneScenario(ZoneScenarioConfig(seed, controllers.split(' '), machinesPerZone))
+        scenario.partition(60.0, partitionS)
+        scenario.run(END_S)
+        assertRecovered(scenario)
+        // If all jobs are placed elsewhere or done, no machines are rented in the zone, and its probe does not end.
+        val end = if (machinesPerZone == ZoneScenario.SCARCE_MACHINES && partitionS < 100.0) listOf("healthy") else emptyList()
+        assertEquals(listOf("suspect", "lost", "returning") + end, states(scenario))
+        val recoveryTimesS = scenario.checker.recoveryTimesS()
+        assertTrue(recoveryTimesS.getValue(0) <= recoveryTimesS.getValue(5), "$recoveryTimesS")
     }
 
     @ParameterizedTest
     @ValueSource(ints = [5, 6, 7])
-    fun `a zone that comes back with most of its machines gets new work on a growing share of them`(seed: Int) {
-        // No controller inside: all leases end, and all that ran there waits when it comes back.
-        val day = ZoneDay(ZonePlan(seed, listOf("a", "b", "a"), machinesPerZone = 16, jobs = ZoneDay.jobs(count = 60)))
-        day.cut(60.0, 12.5)
-        day.run(END_S)
-        assertRecovered(day)
-        assertEquals(listOf("suspect", "lost", "returning", "healthy"), states(day))
-        assertTrue(day.checker.ramped >= 8, "${day.checker.ramped}")
+    fun `a returning zone gets new tasks on a growing share of its machines`(seed: Int) {
+        // No controller is in the zone: all leases expire, and all its tasks are pending when it returns.
+        val scenario =
+            ZoneScenario(ZoneScenarioConfig(seed, listOf("a", "b", "a"), machinesPerZone = 16, jobs = ZoneScenario.jobs(count = 60)))
+        scenario.partition(60.0, 12.5)
+        scenario.run(END_S)
+        assertRecovered(scenario)
+        assertEquals(listOf("suspect", "lost", "returning", "healthy"), states(scenario))
+        assertTrue(scenario.checker.machinesUsedAfterReturn >= 8, "${scenario.checker.machinesUsedAfterReturn}")
     }
 
     @ParameterizedTest
     @CsvSource("11, a b c", "12, a b a")
-    fun `a cut shorter than a lease moves nothing and starts no ramp`(seed: Int, controllers: String) {
-        val day = ZoneDay(ZonePlan(seed, controllers.split(' ')))
-        day.cut(60.0, 4.0)
-        day.run(END_S)
-        assertRecovered(day)
-        assertTrue(states(day).none { it == "lost" || it == "returning" }, "${day.states}")
-        assertEquals(0, day.cluster.invariants.leasesLost)
+    fun `a network partition shorter than a lease displaces no task and starts no ramp`(seed: Int, controllers: String) {
+        val scenario = ZoneScenario(ZoneScenarioConfig(seed, controllers.split(' ')))
+        scenario.partition(60.0, 4.0)
+        scenario.run(END_S)
+        assertRecovered(scenario)
+        assertTrue(states(scenario).none { it == "lost" || it == "returning" }, "${scenario.states}")
+        assertEquals(0, scenario.cluster.invariants.leasesLost)
     }
 
     @ParameterizedTest
     @CsvSource("21, 9.0, 8.0", "22, 12.0, 6.0", "23, 20.0, 15.0", "24, 15.0, 3.0")
-    fun `a zone that flaps twice within a minute causes no second wave`(seed: Int, cutS: Double, pauseS: Double) {
-        val day = ZoneDay(ZonePlan(seed))
-        day.cut(60.0, cutS)
-        day.cut(60.0 + cutS + pauseS, cutS)
-        var before = 0
-        day.at(60.0) { before = day.cluster.cloud.machinesRented }
-        day.run(200.0)
-        // No machine is rented twice for the same work: as many as the zone had, and those that try it anew.
-        val machinesRented = day.cluster.cloud.machinesRented - before
+    fun `a zone that flaps twice within a minute does not displace tasks again`(seed: Int, partitionS: Double, pauseS: Double) {
+        val scenario = ZoneScenario(ZoneScenarioConfig(seed))
+        scenario.partition(60.0, partitionS)
+        scenario.partition(60.0 + partitionS + pauseS, partitionS)
+        var rentedBefore = 0
+        scenario.after(60.0) { rentedBefore = scenario.cluster.cloud.machinesRented }
+        scenario.run(200.0)
+        // No machine is rented twice for the same task: the limit is the lost machines and the probed ones.
+        val machinesRented = scenario.cluster.cloud.machinesRented - rentedBefore
         assertTrue(
-            machinesRented <= day.checker.machinesLost + ReturnRamp.TRIAL_MACHINES,
-            "$machinesRented for ${day.checker.machinesLost}",
+            machinesRented <= scenario.checker.machinesLost + ReturnRamp.PROBE_MACHINES,
+            "$machinesRented for ${scenario.checker.machinesLost}",
         )
-        day.run(END_S)
-        assertRecovered(day)
+        scenario.run(END_S)
+        assertRecovered(scenario)
     }
 
     @ParameterizedTest
@@ -100,154 +102,150 @@
         "35, returning, 0.3",
         "36, healthy, 3",
     )
-    fun `a leader that ends at the loss, in the recovery or in the return leaves it to the next one`(
-        seed: Int,
-        state: String,
-        downS: Double,
-    ) {
-        val day = ZoneDay(ZonePlan(seed, machinesPerZone = ZoneDay.SCARCE))
-        day.cut(60.0, 40.0)
-        // The next leader ends as well, two seconds after it has begun.
-        day.onState = { now ->
-            if (now == state) {
-                day.cluster.kill(day.cluster.leader, downS)
-                day.at(4.0) { day.cluster.kill(day.cluster.leader, downS) }
+    fun `recovery continues after a leader failover in any state of the zone`(seed: Int, state: String, downS: Double) {
+        val scenario = ZoneScenario(ZoneScenarioConfig(seed, machinesPerZone = ZoneScenario.SCARCE_MACHINES))
+        scenario.partition(60.0, 40.0)
+        // The next leader fails as well, four seconds after the first.
+        scenario.onZoneState = { current ->
+            if (current == state) {
+                scenario.cluster.kill(scenario.cluster.leader, downS)
+                scenario.after(4.0) { scenario.cluster.kill(scenario.cluster.leader, downS) }
             }
         }
-        day.run(END_S)
-        assertRecovered(day)
-        assertTrue("lost" in states(day) && states(day).last() == "healthy", "${day.states}")
+        scenario.run(END_S)
+        assertRecovered(scenario)
+        assertTrue("lost" in states(scenario) && states(scenario).last() == "healthy", "${scenario.states}")
     }
 
     @ParameterizedTest
     @CsvSource("41, 61", "42, 66", "43, 72", "44, 80", "45, 101")
-    fun `all controllers restart during a loss`(seed: Int, atS: Double) {
-        val day = ZoneDay(ZonePlan(seed))
-        day.cut(60.0, 40.0)
-        day.at(atS) { for (i in 0..2) day.cluster.kill(i, 1.5) }
-        day.run(END_S)
-        assertEquals(emptyList<String>(), day.violations().take(8), "${day.states}")
-        assertEquals(emptyList<String>(), day.unfinished())
+    fun `recovery completes when all controllers restart during a loss`(seed: Int, atS: Double) {
+        val scenario = ZoneScenario(ZoneScenarioConfig(seed))
+        scenario.partition(60.0, 40.0)
+        scenario.after(atS) { for (i in 0..2) scenario.cluster.kill(i, 1.5) }
+        scenario.run(END_S)
+        assertEquals(emptyList<String>(), scenario.violations().take(8), "${scenario.states}")
+        assertEquals(emptyList<String>(), scenario.unfinished())
     }
 
     @ParameterizedTest
     @CsvSource(
-        "51, outage",
-        "52, longoutage",
-        "53, leader refused",
-        "54, late writes",
-        "55, lost answers",
-        "56, late reports",
-        "57, slow",
+        "51, store outage",
+        "52, long store outage",
+        "53, leader rejected by store",
+        "54, delayed transactions",
+        "55, lost transaction responses",
+        "56, delayed duplicate heartbeats",
+        "57, slow store",
     )
-    fun `troubles of the state service and late reports during a loss`(seed: Int, trouble: String) {
-        val day = ZoneDay(ZonePlan(seed))
-        day.cut(60.0, 40.0)
-        trouble(day, trouble)
-        day.run(END_S)
-        assertEquals(emptyList<String>(), day.violations().take(8), "${day.states}")
-        assertEquals(emptyList<String>(), day.unfinished())
+    fun `recovery completes despite store faults or delayed heartbeats`(seed: Int, fault: String) {
+        val scenario = ZoneScenario(ZoneScenarioConfig(seed))
+        scenario.partition(60.0, 40.0)
+        injectFault(scenario, fault)
+        scenario.run(END_S)
+        assertEquals(emptyList<String>(), scenario.violations().take(8), "${scenario.states}")
+        assertEquals(emptyList<String>(), scenario.unfinished())
     }
 
-    private fun trouble(day: ZoneDay, name: String) {
-        val c = day.cluster
-        fun during(fromS: Double, forS: Double, set: (Boolean) -> Unit) {
-            day.at(fromS) { set(true) }
-            day.at(fromS + forS) { set(false) }
+    private fun injectFault(scenario: ZoneScenario, fault: String) {
+        val cluster = scenario.cluster
+        fun during(fromS: Double, durationS: Double, setActive: (Boolean) -> Unit) {
+            scenario.after(fromS) { setActive(true) }
+            scenario.after(fromS + durationS) { setActive(false) }
         }
-        when (name) {
-            "outage" -> during(61.0, 4.0) { c.store.outage = it }
-            "longoutage" -> during(64.0, 20.0) { c.store.outage = it }
-            "leader refused" -> day.at(70.0) {
-                val leader = c.leader
-                c.store.refuse(leader, true)
-                day.at(6.0) { c.store.refuse(leader, false) }
+        when (fault) {
+            "store outage" -> during(61.0, 4.0) { cluster.store.outage = it }
+            "long store outage" -> during(64.0, 20.0) { cluster.store.outage = it }
+            "leader rejected by store" -> scenario.after(70.0) {
+                val leader = cluster.leader
+                cluster.store.refuse(leader, true)
+                scenario.after(6.0) { cluster.store.refuse(leader, false) }
             }
-            "late writes" -> for (w in c.network.storeLinks) {
+            "delayed transactions" -> for (link in cluster.network.storeLinks) {
                 during(58.0, 60.0) {
-                    w.lateTransactionRate =
+                    link.lateTransactionRate =
                         if (it) 0.15 else 0.0
                 }
             }
-            "lost answers" -> for (w in c.network.storeLinks) {
+            "lost transaction responses" -> for (link in cluster.network.storeLinks) {
                 during(58.0, 60.0) {
-                    w.lostTransactionAnswerRate =
+                    link.lostTransactionAnswerRate =
                         if (it) 0.25 else 0.0
                 }
             }
-            "late reports" -> during(50.0, 70.0) {
-                c.heartbeats.duplicateRate = if (it) 0.1 else 0.0
-                c.heartbeats.duplicateForNextLeaderRate = if (it) 0.3 else 0.0
+            "delayed duplicate heartbeats" -> during(50.0, 70.0) {
+                cluster.heartbeats.duplicateRate = if (it) 0.1 else 0.0
+                cluster.heartbeats.duplicateForNextLeaderRate = if (it) 0.3 else 0.0
             }
-            "slow" -> for (w in c.network.storeLinks) during(58.0, 60.0) { w.slowMs = if (it) 200L else 0L }
+            "slow store" -> for (link in cluster.network.storeLinks) during(58.0, 60.0) { link.slowMs = if (it) 200L else 0L }
         }
     }
 
     @Test
-    fun `a zone that is gone for good is given up, and tried with few machines`() {
-        val day = ZoneDay(ZonePlan(61))
-        day.gone(60.0)
-        day.run(END_S)
-        assertRecovered(day)
-        assertEquals(listOf("suspect", "lost", "returning"), states(day))
+    fun `a permanently lost zone is evacuated and probed with few machines`() {
+        val scenario = ZoneScenario(ZoneScenarioConfig(61))
+        scenario.destroyZone(60.0)
+        scenario.run(END_S)
+        assertRecovered(scenario)
+        assertEquals(listOf("suspect", "lost", "returning"), states(scenario))
         assertTrue(
-            day.cluster.cloud.workers.values.count {
-                it.machine.zone == ZoneDay.LOST_ZONE
-            } <= ReturnRamp.TRIAL_MACHINES,
+            scenario.cluster.cloud.workers.values.count {
+                it.machine.zone == ZoneScenario.LOST_ZONE
+            } <= ReturnRamp.PROBE_MACHINES,
         )
     }
 
     @Test
-    fun `what most zones seem to lose at once is not believed`() {
-        val day = ZoneDay(ZonePlan(62))
-        // No worker reaches any controller; commands still reach them.
-        day.at(60.0) { for (w in day.cluster.cloud.workers.values) w.outboundBlocked = true }
-        day.at(75.0) { for (w in day.cluster.cloud.workers.values) w.outboundBlocked = false }
-        day.run(END_S)
-        assertEquals(emptyList<String>(), day.cluster.invariants.violations.take(5))
-        assertTrue(states(day).none { it == "lost" }, "${day.states}")
-        assertEquals(emptyList<String>(), day.unfinished())
+    fun `no zone is lost when all zones become unreachable at once`() {
+        val scenario = ZoneScenario(ZoneScenarioConfig(62))
+        // No worker reaches any controller, but commands still reach the workers.
+        scenario.after(60.0) { for (worker in scenario.cluster.cloud.workers.values) worker.outboundBlocked = true }
+        scenario.after(75.0) { for (worker in scenario.cluster.cloud.workers.values) worker.outboundBlocked = false }
+        scenario.run(END_S)
+        assertEquals(emptyList<String>(), scenario.cluster.invariants.violations.take(5))
+        assertTrue(states(scenario).none { it == "lost" }, "${scenario.states}")
+        assertEquals(emptyList<String>(), scenario.unfinished())
     }
 
     @ParameterizedTest
     @ValueSource(ints = [0, 1, 2])
-    fun `a controller that stands still is no lost zone`(node: Int) {
-        val day = ZoneDay(ZonePlan(64 + node))
-        day.at(60.0) { day.cluster.freeze(node, 9.0) }
-        day.run(END_S)
-        assertEquals(emptyList<String>(), day.cluster.invariants.violations.take(5))
-        assertTrue(states(day).none { it == "lost" }, "${day.states}")
-        assertEquals(emptyList<String>(), day.unfinished())
+    fun `no zone is lost when a controller process is paused`(node: Int) {
+        val scenario = ZoneScenario(ZoneScenarioConfig(64 + node))
+        scenario.after(60.0) { scenario.cluster.freeze(node, 9.0) }
+        scenario.run(END_S)
+        assertEquals(emptyList<String>(), scenario.cluster.invariants.violations.take(5))
+        assertTrue(states(scenario).none { it == "lost" }, "${scenario.states}")
+        assertEquals(emptyList<String>(), scenario.unfinished())
     }
 
     @Test
-    fun `what is bound to the zone waits no longer than its return`() {
-        val bound = ZoneDay.jobs().take(2).mapIndexed { n, s -> s.copy(id = "job-9$n", zone = ZoneDay.LOST_ZONE) }
-        val gang = ZoneDay.jobs().first().copy(
+    fun `tasks bound to a lost zone restart within the duration of its return`() {
+        val bound = ZoneScenario.jobs().take(2).mapIndexed { n, s -> s.copy(id = "job-9$n", zone = ZoneScenario.LOST_ZONE) }
+        val gang = ZoneScenario.jobs().first().copy(
             id = "job-92",
             jobKind = JobKind.GANG,
             sameZone = true,
-            zone = ZoneDay.LOST_ZONE,
+            zone = ZoneScenario.LOST_ZONE,
         )
-        val day = ZoneDay(ZonePlan(68, jobs = bound + gang + ZoneDay.jobs()))
-        day.cut(60.0, 40.0)
-        day.run(END_S)
-        assertEquals(emptyList<String>(), day.cluster.invariants.violations.take(5) + day.unfinished(), "${day.states}")
+        val scenario = ZoneScenario(ZoneScenarioConfig(68, jobs = bound + gang + ZoneScenario.jobs()))
+        scenario.partition(60.0, 40.0)
+        scenario.run(END_S)
+        assertEquals(emptyList<String>(), scenario.cluster.invariants.violations.take(5) + scenario.unfinished(), "${scenario.states}")
         for (id in listOf("job-90", "job-91", "job-92")) {
-            val waitedS = day.checker.restartedS(id) - 100.0
-            // A boot, the controllers' return, and a whole ramp of one and a half leases.
+            val waitedS = scenario.checker.lastRestartS(id) - 100.0
+            // Enough for a boot, the controllers' reconnection and a whole ramp of one and a half leases.
             assertTrue(waitedS < 30.0, "$id waits $waitedS s")
         }
     }
 
     @Test
-    fun `one controller that its workers do not reach is no lost zone`() {
-        val day = ZoneDay(ZonePlan(63))
-        day.at(60.0) { day.cluster.network.workerConnectionsCut[2] = true }
-        day.at(85.0) { day.cluster.network.workerConnectionsCut[2] = false }
-        day.run(END_S)
-        assertEquals(emptyList<String>(), day.violations().take(5))
-        assertTrue(states(day).none { it == "lost" }, "${day.states}")
+    fun `no zone is lost when one controller is partitioned from all workers`() {
+        val scenario = ZoneScenario(ZoneScenarioConfig(63))
+        scenario.after(60.0) { scenario.cluster.network.workerConnectionsCut[2] = true }
+        scenario.after(85.0) { scenario.cluster.network.workerConnectionsCut[2] = false }
+        scenario.run(END_S)
+        assertEquals(emptyList<String>(), scenario.violations().take(5))
+        assertTrue(states(scenario).none { it == "lost" }, "${scenario.states}")
     }
 
     @ParameterizedTest
@@ -258,78 +256,78 @@
         "1071, 40.0, 160.0, true",
         "3071, 40.0, 160.0, true",
     )
-    fun `a class that forbids repeats waits for word from the zone, also when its tasks ended inside it`(
+    fun `tasks of a class that forbids repeats are held until the lost zone reports their outcome`(
         seed: Int,
-        cutS: Double,
-        deedS: Double,
+        partitionS: Double,
+        runtimeS: Double,
         isHeld: Boolean,
     ) {
-        val day = ZoneDay(ZonePlan(seed, jobs = ZoneDay.jobs(deeds = true, deedS)))
-        day.cut(60.0, cutS)
-        day.run(END_S)
-        val held = day.unfinished()
-        // They wait by their class's own rule; nothing else may.
+        val scenario = ZoneScenario(ZoneScenarioConfig(seed, jobs = ZoneScenario.jobs(withAtMostOnceJobs = true, runtimeS)))
+        scenario.partition(60.0, partitionS)
+        scenario.run(END_S)
+        val held = scenario.unfinished()
+        // Only tasks of the class that forbids repeats may wait.
         assertEquals(
             emptyList<String>(),
-            day.violations().filterNot { b ->
-                held.any { "waits: $it " in b }
+            scenario.violations().filterNot { violation ->
+                held.any { "waits: $it " in violation }
             }.take(8),
-            "${day.states}",
+            "${scenario.states}",
         )
         assertTrue(
             held.all {
-                day.cluster.specs.getValue(it).jobClass == "deed" && day.cluster.invariants.reportedPhase(it) != null
+                scenario.cluster.specs.getValue(it).jobClass == "deed" && scenario.cluster.invariants.reportedPhase(it) != null
             },
             "$held",
         )
-        // In a short cut the controller inside keeps the leases, and they run to their end.
+        // In a short partition, the controller in the zone renews the leases, and the tasks run to completion.
         assertEquals(isHeld, held.isNotEmpty(), "$held")
-        assertTrue("lost" in states(day) && "deed" in day.checker.displaced, "${day.states}")
+        assertTrue("lost" in states(scenario) && "deed" in scenario.checker.displacedByClass, "${scenario.states}")
     }
 
     @ParameterizedTest
     @CsvSource("81, 40.0", "82, 400.0")
-    fun `an operator's order gives up on what the zone held, whichever leader carries it out`(seed: Int, cutS: Double) {
-        val day = ZoneDay(ZonePlan(seed, jobs = ZoneDay.jobs(deeds = true)))
-        day.cut(60.0, cutS)
+    fun `an abandon order releases the held tasks of a lost zone despite a leader failover`(seed: Int, partitionS: Double) {
+        val scenario = ZoneScenario(ZoneScenarioConfig(seed, jobs = ZoneScenario.jobs(withAtMostOnceJobs = true)))
+        scenario.partition(60.0, partitionS)
         var held = emptyList<String>()
         var reasons = emptySet<String>()
-        day.at(130.0) {
-            held = day.answer().heldList.filter { it.tasks > 0 }.map { it.jobClass }
-            reasons = day.reasons("deed")
-            day.checker.abandoned("deed")
-            day.abandon("deed")
+        scenario.after(130.0) {
+            held = scenario.zoneResponse().heldList.filter { it.tasks > 0 }.map { it.jobClass }
+            reasons = scenario.waitReasons("deed")
+            scenario.checker.recordAbandoned("deed")
+            scenario.abandon("deed")
         }
-        day.at(130.5) { day.cluster.kill(day.cluster.leader, 3.0) }
-        day.run(END_S)
-        assertEquals(emptyList<String>(), day.violations().take(8), "${day.states}")
-        assertEquals(emptyList<String>(), day.unfinished())
+        scenario.after(130.5) { scenario.cluster.kill(scenario.cluster.leader, 3.0) }
+        scenario.run(END_S)
+        assertEquals(emptyList<String>(), scenario.violations().take(8), "${scenario.states}")
+        assertEquals(emptyList<String>(), scenario.unfinished())
         assertEquals(listOf("deed"), held)
         assertTrue("held" in reasons, "$reasons")
-        assertEquals(emptyList<Any>() to listOf("deed"), day.answer().let { it.heldList to it.abandonedList })
+        assertEquals(emptyList<Any>() to listOf("deed"), scenario.zoneResponse().let { it.heldList to it.abandonedList })
     }
 
     @Test
-    fun `a drain in progress, its budget spent, goes on after the loss`() {
-        val budgets = ZoneDay.CONFIG.copy(defaultBudget = flaxfield.drain.BudgetLimit.Percent(15.0))
-        val day = ZoneDay(ZonePlan(91, config = budgets))
-        day.at(50.0) { day.drain(DrainOrder.Start("d-1", Selector(emptySet(), null, "a", null, 50.0))) }
-        day.cut(56.0, 40.0)
-        day.run(LONG_END_S)
-        assertEquals(emptyList<String>(), day.cluster.invariants.violations.take(5))
-        assertEquals(emptyList<String>(), day.unfinished())
-        assertEquals("done", day.cluster.store.text(flaxfield.drain.FleetKeys.DRAIN + "d-1", "phase"))
-        assertTrue("lost" in states(day))
+    fun `a drain whose budget is exhausted continues after a zone loss`() {
+        val budgets = ZoneScenario.CONFIG.copy(defaultBudget = flaxfield.drain.BudgetLimit.Percent(15.0))
+        val scenario = ZoneScenario(ZoneScenarioConfig(91, fleetConfig = budgets))
+        scenario.after(50.0) { scenario.drain(DrainOrder.Start("d-1", Selector(emptySet(), null, "a", null, 50.0))) }
+        scenario.partition(56.0, 40.0)
+        scenario.run(LONG_END_S)
+        assertEquals(emptyList<String>(), scenario.cluster.invariants.violations.take(5))
+        assertEquals(emptyList<String>(), scenario.unfinished())
+        assertEquals("done", scenario.cluster.store.text(flaxfield.drain.FleetKeys.DRAIN + "d-1", "phase"))
+        assertTrue("lost" in states(scenario))
     }
 
     @Test
-    fun `every job has one final answer, also from before the loss`() {
-        val day = ZoneDay(ZonePlan(92))
-        day.cut(60.0, 40.0)
-        day.at(150.0) { for (u in day.users) for (i in 0..2) u.resubmit(i) }
-        day.run(END_S)
-        assertRecovered(day)
-        assertTrue(day.users.all { day.cluster.invariants.reportedPhase(it.spec.id) in InvariantChecker.FINAL_PHASES })
+    fun `every resubmitted job has one final phase after a zone loss`() {
+        val scenario = ZoneScenario(ZoneScenarioConfig(92))
+        scenario.partition(60.0, 40.0)
+        scenario.after(150.0) { for (user in scenario.users) for (i in 0..2) user.resubmit(i) }
+        scenario.run(END_S)
+        assertRecovered(scenario)
+        assertTrue(scenario.users.all { scenario.cluster.invariants.reportedPhase(it.spec.id) in InvariantChecker.FINAL_PHASES })
     }
 
     private companion object {
--- a/src/test/kotlin/flaxfield/zones/ZoneHealthTest.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneStateMachineTest.kt
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** With a lease of 10 s a step of the return lasts 5 s, and a loss is confirmed 6 s after suspicion. */
-class ZoneHealthTest {
-    private val health = ZoneHealth(ZoneTimes(10.0))
+/** With a lease of 10 s, a step of the return lasts 5 s, and a suspect zone is lost after 6 s. */
+class ZoneStateMachineTest {
+    private val stateMachine = ZoneStateMachine(ZoneTimes(10.0))
     private val none = HeartbeatCoverage.NONE
     private val most = HeartbeatCoverage.MOST
 
@@ -17,8 +17,8 @@
 
     private fun covered(expected: Int, coverage: HeartbeatCoverage) = ZoneCoverage(expected, coverage)
 
-    /** Feeds [evidence] second by second; the changes as `second zone state step`. */
-    private fun play(
+    /** Applies the [evidence] of each second, and returns the changes as `second zone state step`. */
+    private fun runFor(
         seconds: Int,
         from: Map<String, ZoneRecord> = emptyMap(),
         evidence: (Int) -> Map<String, ZoneEvidence>,
@@ -26,7 +26,7 @@
         val records = HashMap(from)
         val changes = ArrayList<String>()
         for (s in 0..seconds) {
-            for (next in health.next(records, evidence(s), mapOf("a" to 16, "b" to 16), s * 1000L)) {
+            for (next in stateMachine.next(records, evidence(s), mapOf("a" to 16, "b" to 16), s * 1000L)) {
                 records[next.zone] = next
                 changes += "$s ${next.zone} ${next.state.name.lowercase()} ${next.step}"
             }
@@ -34,12 +34,16 @@
         return changes
     }
 
-    private fun zone(name: String, silent: Boolean, expected: Int = 16) =
-        name to ZoneEvidence(name, expected, silent && expected > 0, heard = !silent && expected > 0)
+    private fun zoneEvidence(zone: String, isUnreachable: Boolean, expectedMachines: Int = 16) = zone to ZoneEvidence(
+        zone,
+        expectedMachines,
+        isUnreachable && expectedMachines > 0,
+        isReachable = !isUnreachable && expectedMachines > 0,
+    )
 
     @Test
-    fun `a lost zone returns in doubling steps, and a short cut starts no ramp`() {
-        val whole = play(60) { s -> mapOf(zone("a", s in 3..20), zone("b", false)) }
+    fun `a lost zone returns in doubling steps, and a short partition starts no ramp`() {
+        val longPartition = runFor(60) { s -> mapOf(zoneEvidence("a", s in 3..20), zoneEvidence("b", false)) }
         assertEquals(
             listOf(
                 "3 a suspect 1",
@@ -49,15 +53,15 @@
                 "31 a returning 3",
                 "36 a healthy 1",
             ),
-            whole,
+            longPartition,
         )
-        val cut = play(60) { s -> mapOf(zone("a", s in 3..7), zone("b", false)) }
-        assertEquals(listOf("3 a suspect 1", "8 a healthy 1"), cut)
+        val shortPartition = runFor(60) { s -> mapOf(zoneEvidence("a", s in 3..7), zoneEvidence("b", false)) }
+        assertEquals(listOf("3 a suspect 1", "8 a healthy 1"), shortPartition)
     }
 
     @Test
-    fun `a further loss halves the share and makes the steps longer, up to a bound`() {
-        val changes = play(90) { s -> mapOf(zone("a", s in 0..10 || s in 24..30 || s in 45..50), zone("b", false)) }
+    fun `a repeated loss halves the share and lengthens the steps up to a limit`() {
+        val changes = runFor(90) { s -> mapOf(zoneEvidence("a", s in 0..10 || s in 24..30 || s in 45..50), zoneEvidence("b", false)) }
         assertEquals(
             listOf(
                 "0 a suspect 1", "6 a lost 1", "11 a returning 1", "16 a returning 2", "21 a returning 3",
@@ -70,19 +74,19 @@
     }
 
     @Test
-    fun `a zone gone for good is tried anew with few machines, and one that is heard ends the trial`() {
-        val changes = play(90) { s -> mapOf(zone("a", s < 30, if (s in 30..79) 0 else 16), zone("b", false)) }
+    fun `a permanently lost zone is probed with few machines until it sends heartbeats`() {
+        val changes = runFor(90) { s -> mapOf(zoneEvidence("a", s < 30, if (s in 30..79) 0 else 16), zoneEvidence("b", false)) }
         assertEquals("66 a returning 0", changes[2])
         assertEquals("80 a returning 1", changes[3])
-        val trial = ZoneRecord.healthy("a", 0)
-            .copy(state = ZoneState.RETURNING, step = ReturnRamp.TRIAL, machines = 400)
-        assertEquals(ReturnRamp.TRIAL_MACHINES, ReturnRamp.limit(trial))
-        assertTrue(trial.isRecovering(nowMs = 50_000, patienceMs = 100_000))
-        assertFalse(trial.isRecovering(nowMs = 150_000, patienceMs = 100_000))
+        val probed = ZoneRecord.healthy("a", 0)
+            .copy(state = ZoneState.RETURNING, step = ReturnRamp.PROBE_STEP, machines = 400)
+        assertEquals(ReturnRamp.PROBE_MACHINES, ReturnRamp.limit(probed))
+        assertTrue(probed.isRecovering(nowMs = 50_000, probeTimeoutMs = 100_000))
+        assertFalse(probed.isRecovering(nowMs = 150_000, probeTimeoutMs = 100_000))
     }
 
     @Test
-    fun `the ramp opens an eighth, a quarter, half, all`() {
+    fun `the ramp opens an eighth, a quarter, half and all of the machines`() {
         val returning = ZoneRecord.healthy("a", 0).copy(state = ZoneState.RETURNING, machines = 400)
         assertEquals(listOf(50, 100, 200, 400), (1..4).map { ReturnRamp.limit(returning.copy(step = it)) })
         assertNull(ReturnRamp.limit(ZoneRecord.healthy("a", 0)))
@@ -90,52 +94,52 @@
     }
 
     @Test
-    fun `evidence that does not make a zone suspect`() {
+    fun `inconclusive evidence does not make a zone suspect`() {
         val members = listOf("n-0", "n-1", "n-2")
         val cases = mapOf(
-            "one controller is cut off from it, others get its heartbeats" to reported(
+            "another controller gets misrouted heartbeats of the zone" to reported(
                 "n-0" to mapOf("a" to covered(9, none), "b" to covered(9, most)),
                 "n-1" to mapOf("a" to covered(0, HeartbeatCoverage.SOME), "b" to covered(9, most)),
                 "n-2" to mapOf("b" to covered(9, most)),
             ),
-            "one of its controllers still gets its heartbeats" to reported(
+            "another owner of machines in the zone gets heartbeats" to reported(
                 "n-0" to mapOf("a" to covered(5, none), "b" to covered(9, most)),
                 "n-1" to mapOf("a" to covered(5, most), "b" to covered(9, most)),
                 "n-2" to mapOf("b" to covered(9, most)),
             ),
-            "its owner has just taken it over" to reported(
+            "the owner has only just taken over the shard" to reported(
                 "n-0" to mapOf("a" to covered(9, HeartbeatCoverage.UNKNOWN), "b" to covered(9, most)),
                 "n-1" to mapOf("b" to covered(9, most)),
                 "n-2" to mapOf("b" to covered(9, most)),
             ),
-            "two machines of it" to reported(
+            "the zone has only two machines" to reported(
                 "n-0" to mapOf("a" to covered(2, none), "b" to covered(9, most)),
                 "n-1" to mapOf("b" to covered(9, most)),
                 "n-2" to emptyMap(),
             ),
-            "all zones at once: the fault is the controllers' own" to reported(
+            "all zones are unreachable at once" to reported(
                 "n-0" to mapOf("a" to covered(9, none), "b" to covered(9, none)),
                 "n-1" to mapOf("b" to covered(9, none)),
                 "n-2" to emptyMap(),
             ),
-            "a member that has reported nothing yet" to reported(
+            "some members have not reported yet" to reported(
                 "n-0" to mapOf("a" to covered(9, none), "b" to covered(9, most)),
             ),
         )
-        for ((what, reported) in cases) {
+        for ((case, reported) in cases) {
             val evidence = ZoneEvidence.of(members, reported).orEmpty()
-            assertEquals(emptyList<String>(), play(60) { evidence }, what)
+            assertEquals(emptyList<String>(), runFor(60) { evidence }, case)
         }
         val lost = reported(
             "n-0" to mapOf("a" to covered(9, none), "b" to covered(9, most)),
             "n-1" to mapOf("b" to covered(9, most)),
             "n-2" to emptyMap(),
         )
-        assertEquals("6 a lost 1", play(60) { ZoneEvidence.of(members, lost).orEmpty() }[1])
+        assertEquals("6 a lost 1", runFor(60) { ZoneEvidence.of(members, lost).orEmpty() }[1])
     }
 
     @Test
-    fun `coverage follows from the share of machines heard`() {
+    fun `coverage depends on the share of reporting machines`() {
         val cases = listOf(
             Triple(10, 6, true) to HeartbeatCoverage.MOST,
             Triple(10, 2, true) to HeartbeatCoverage.SOME,
@@ -143,11 +147,13 @@
             Triple(10, 0, false) to HeartbeatCoverage.UNKNOWN,
             Triple(0, 0, true) to HeartbeatCoverage.NONE,
         )
-        for ((c, wanted) in cases) assertEquals(wanted, HeartbeatCoverage.of(c.first, c.second, c.third), "$c")
+        for ((case, expected) in cases) {
+            assertEquals(expected, HeartbeatCoverage.of(case.first, case.second, case.third), "$case")
+        }
     }
 
     @Test
-    fun `records are stored whole`() {
+    fun `a stored record is decoded unchanged`() {
         val record = ZoneRecord(
             "a",
             ZoneState.RETURNING,
@@ -155,9 +161,9 @@
             sinceMs = 1_700_000_000_000,
             machines = 120,
             step = 2,
-            relapses = 1,
+            flapCount = 1,
             lostMs = 1_699_999_990_000,
-            endedMs = 1_699_999_999_000,
+            lossEndedMs = 1_699_999_999_000,
             version = 9uL,
         )
         val stored = Cbor.decode(Cbor.encode(ZoneCodec.encode(record)))
