--- a/src/main/kotlin/flaxfield/zones/ZoneRecovery.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneRecovery.kt
@@ -22,7 +22,7 @@
 
     private val repeatGuard get() = RepeatGuard(rules) { view.zones[it] }
 
-    /** Whether the loss of any zone is still being recovered. */
+    /** Whether tasks displaced by the loss of any zone are still being recovered. */
     val isRecovering: Boolean
         get() = view.zones.isNotEmpty() && view.zones.values.any { it.isRecovering(context.nowMs, times.stableMs) }
 
--- a/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
@@ -7,8 +7,8 @@
     private val leaseMs = leaseS * MILLIS_PER_SECOND
 
     /**
-     * How long a zone is suspect before it is lost. With the preceding [SILENT_LEASES], this makes a whole lease
-     * without heartbeats: leases that were not renewed have expired, and a shorter partition displaces no tasks.
+     * How long a zone is suspect before it is lost. With the preceding [SILENT_LEASES], this makes a whole
+     * lease without heartbeats: leases that were not renewed have expired, and a shorter partition displaces no tasks.
      */
     val lossConfirmationMs: Long = (leaseMs * (1.0 - SILENT_LEASES)).toLong()
 
--- a/src/test/kotlin/flaxfield/zones/ZoneSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneSimulationTest.kt
@@ -220,7 +220,7 @@
 
     @Test
     fun `tasks bound to a lost zone restart within the duration of its return`() {
-        val bound = ZoneScenario.jobs().take(2).mapIndexed { n, s -> s.copy(id = "job-9$n", zone = ZoneScenario.LOST_ZONE) }
+        val bound = ZoneScenario.jobs().take(2).mapIndexed { n, spec -> spec.copy(id = "job-9$n", zone = ZoneScenario.LOST_ZONE) }
         val gang = ZoneScenario.jobs().first().copy(
             id = "job-92",
             jobKind = JobKind.GANG,
