--- a/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
@@ -59,7 +59,7 @@
         val candidates = context.view.machines.values
             .mapNotNull { retirement(it, workersHadTimeToReport) }
             .associateBy { it.machine.name }
-        val batchSize = context.transactions.budget.bulk(context.settings.stateLimits.txnOps)
+        val batchSize = context.transactions.budget.maxBulkChanges(context.settings.stateLimits.txnOps)
         val batch = ScaleInOrder.sort(context, candidates.values.map { it.machine })
             .take(batchSize)
             .mapNotNull { candidates[it.name] }
--- a/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
@@ -28,9 +28,9 @@
 /** While all zones are healthy, a controller that monitors zones decides like one that does not. */
 class HealthyZonesTest {
     private val clock = object : Clock {
-        override fun steadyNs() = 1L
+        override fun monotonicNs() = 1L
 
-        override fun dayMs() = NOW_MS
+        override fun wallClockMs() = NOW_MS
     }
 
     private fun jobs(random: Random): List<Job> = (1..40).map { n ->
