--- a/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
@@ -108,7 +108,7 @@
         val health = context.view.machineStatus(machine.name)?.state ?: return null
         return when {
             health == MachineHealth.SILENT ->
-                RetirementReason.SILENT.takeIf { context.zones?.mayReleaseSilent(machine) != false }
+                RetirementReason.SILENT.takeIf { context.zones?.mayReleaseUnreachable(machine) != false }
             health == MachineHealth.FAULTY -> RetirementReason.FAULTY
             health == MachineHealth.UNSEEN && workersHadTimeToReport && hasBootFailed(machine, machineType) ->
                 RetirementReason.BOOT_FAILED
--- a/src/main/kotlin/flaxfield/zones/FairShares.kt
+++ b/src/main/kotlin/flaxfield/zones/FairShares.kt
@@ -13,15 +13,15 @@
 )
 
 /** A team's fair share of the available capacity, and the capacity allocated to its tasks. */
-data class TeamShare(val team: String, val target: Capacity, val held: Capacity) {
+data class TeamShare(val team: String, val target: Capacity, val allocated: Capacity) {
     /**
      * How far the team is below its target, as a fraction of the target. This is the larger fraction of the two
      * resources, and 0 if the target is met.
      */
     val shortfall: Double
         get() = maxOf(
-            missingFraction(target.cpus, held.cpus),
-            missingFraction(target.accelerators, held.accelerators),
+            missingFraction(target.cpus, allocated.cpus),
+            missingFraction(target.accelerators, allocated.accelerators),
         )
 
     private fun missingFraction(target: Double, allocated: Double): Double =
--- a/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
@@ -7,10 +7,10 @@
     private val leaseMs = leaseS * MILLIS_PER_SECOND
 
     /**
-     * How long a zone is suspect before it is lost. With the preceding [SILENT_LEASES], this makes a whole
+     * How long a zone is suspect before it is lost. With the preceding [HEARTBEAT_TIMEOUT_LEASES], this makes a whole
      * lease without heartbeats: leases that were not renewed have expired, and a shorter partition displaces no tasks.
      */
-    val lossConfirmationMs: Long = (leaseMs * (1.0 - SILENT_LEASES)).toLong()
+    val lossConfirmationMs: Long = (leaseMs * (1.0 - HEARTBEAT_TIMEOUT_LEASES)).toLong()
 
     /** How long a zone is lost before it is probed. All its machines have been returned by then. */
     val probeDelayMs: Long = (leaseMs * PROBE_DELAY_LEASES).toLong()
@@ -34,7 +34,7 @@
          * A machine counts as unreachable after this share of a lease without a heartbeat, which is about two heartbeat
          * intervals.
          */
-        const val SILENT_LEASES = 0.4
+        const val HEARTBEAT_TIMEOUT_LEASES = 0.4
 
         /** Flaps beyond this number make the steps no longer. */
         const val MAX_FLAP_COUNT = 2
--- a/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/HealthyZonesTest.kt
@@ -84,7 +84,7 @@
             ScaleInOrder.sort(context, machines).map { it.name },
             machines.map { context.zones?.acceptsPlacements(it) ?: true },
             machines.map { context.zones?.mayReturn(it) ?: true },
-            machines.map { context.zones?.mayReleaseSilent(it) ?: true },
+            machines.map { context.zones?.mayReleaseUnreachable(it) ?: true },
             listOf("a", "b").map { context.zones?.rentableMachines(it) ?: Int.MAX_VALUE },
         )
     }
@@ -112,7 +112,7 @@
         val tier = { name: String ->
             context.view.jobsOn(name).minOfOrNull { PriorityTiers.tier(it.spec) } ?: Int.MAX_VALUE
         }
-        val released = lostMachines.filter { context.zones?.mayReleaseSilent(it) ?: false }
+        val released = lostMachines.filter { context.zones?.mayReleaseUnreachable(it) ?: false }
         assertTrue(
             released.isNotEmpty() &&
                 released.size < lostMachines.size &&
