--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -7,38 +7,38 @@
 
 /** Why a task counts as unavailable. */
 enum class Absence {
-    /** A drain has evicted it, and it is not yet proven to run again. */
+    /** It was evicted by a drain and is not yet proven to run again. */
     DRAINED,
 
-    /** It was told to stop for another reason: preemption, a spot notice, scale-in. */
+    /** It is being stopped for another reason: preemption, a termination notice or scale-in. */
     STOPPING,
 
-    /** Its machine has stopped reporting, and the state of the task is unknown. */
+    /** Its machine has stopped reporting, so that the state of the task is unknown. */
     SILENT,
 
-    /** It was lost with its machine, failed or was stopped, and is not yet proven to run again. */
+    /** It failed, was stopped or was lost with its machine, and is not yet proven to run again. */
     LOST,
 }
 
-/** How one team stands against its disruption budget. */
+/** The capacity of one team that is unavailable, and its disruption budget. */
 data class TeamAvailability(
-    /** What its tasks take while nothing is lost. */
+    /** The capacity that the team's placed and lost tasks take. */
     val expected: Capacity,
-    /** How much of it is unavailable now, for whatever reason. */
+    /** The part of [expected] that is unavailable now, for any reason. */
     val unavailable: Capacity,
-    /** What may be unavailable at once. */
+    /** The capacity that may be unavailable at once: the team's disruption budget. */
     val allowed: Capacity,
-    /** How many tasks are absent, by reason. */
+    /** The number of unavailable tasks by reason. */
     val absences: Map<Absence, Int>,
 ) {
-    /** Whether [cost] may be disrupted in addition now. */
+    /** Returns whether the budget allows [cost] to be disrupted in addition to [unavailable]. */
     fun permits(cost: Capacity): Boolean = (unavailable + cost).within(allowed)
 
-    /** Whether [cost] would fit if nothing else were unavailable. */
-    fun everPermits(cost: Capacity): Boolean = cost.within(allowed)
+    /** Returns whether the budget would allow [cost] if nothing else were unavailable. */
+    fun fitsWholeBudget(cost: Capacity): Boolean = cost.within(allowed)
 }
 
-/** Pure: how much of each team's capacity is unavailable, counted from the records of one snapshot. */
+/** Counts the unavailable capacity of each team. Pure: depends on the records of one snapshot and on [policy]. */
 class Availability(private val snapshot: FleetSnapshot, private val policy: FleetPolicy) {
     private class Totals {
         var expected = Capacity.NONE
@@ -46,33 +46,35 @@
         val absences = HashMap<Absence, Int>()
     }
 
-    /** How each team with tasks, or with disruptions, stands. */
+    /** The availability of each team with a job that counts towards its budget. */
     val teams: Map<String, TeamAvailability> by lazy(LazyThreadSafetyMode.NONE, ::count)
 
-    /** How [team] stands; also one that has nothing at all. */
+    /** Returns the availability of [team], which may have no jobs. */
     fun of(team: String): TeamAvailability = teams[team]
         ?: TeamAvailability(Capacity.NONE, Capacity.NONE, policy.allowed(team, Capacity.NONE), emptyMap())
 
-    /** Why a task is unavailable; null if it is available, or its job has no capacity to lose. */
-    fun absence(job: Job, index: Int): Absence? {
+    /** Returns why a task is unavailable; null if it is available, is done or does not count. */
+    fun unavailabilityReason(job: Job, index: Int): Absence? {
         val placed = job.placed(index)
-        val drained = snapshot.ledgers[job.spec.team]?.entries?.containsKey(TaskId(job.id, index)) ?: false
+        val isDrained = snapshot.ledgers[job.spec.team]?.entries?.containsKey(TaskId(job.id, index)) ?: false
         return when {
-            !counts(job) || job.isDone(index) -> null
-            drained -> Absence.DRAINED
+            !countsTowardsBudget(job) || job.isDone(index) -> null
+            isDrained -> Absence.DRAINED
             placed != null && placed.stopping -> Absence.STOPPING
             job.isInterrupted(index) -> Absence.LOST
-            placed != null && isSilent(placed) -> Absence.SILENT
+            placed != null && isUnreachable(placed) -> Absence.SILENT
             else -> null
         }
     }
 
-    private fun isSilent(placement: Placement): Boolean =
+    private fun isUnreachable(placement: Placement): Boolean =
         snapshot.machineStatuses[placement.machineName]?.state == MachineHealth.SILENT
 
     private fun count(): Map<String, TeamAvailability> {
         val totals = HashMap<String, Totals>()
-        for (job in snapshot.jobs.values) if (counts(job)) add(job, totals.getOrPut(job.spec.team) { Totals() })
+        for (job in snapshot.jobs.values) {
+            if (countsTowardsBudget(job)) add(job, totals.getOrPut(job.spec.team) { Totals() })
+        }
         return totals.mapValues { (team, total) ->
             val allowed = policy.allowed(team, total.expected)
             TeamAvailability(total.expected, total.unavailable, allowed, total.absences)
@@ -82,17 +84,17 @@
     private fun add(job: Job, totals: Totals) {
         val tasks = job.allPlaced().mapTo(HashSet(), Placement::index)
         for (chunk in job.chunks.values) tasks += chunk.interrupted
-        var absent = 0
+        var unavailableCount = 0
         for (index in tasks) {
-            val reason = absence(job, index) ?: continue
+            val reason = unavailabilityReason(job, index) ?: continue
             totals.absences.merge(reason, 1, Int::plus)
-            absent++
+            unavailableCount++
         }
         val perTask = Capacity.of(job.spec)
         totals.expected += perTask * tasks.size
-        totals.unavailable += perTask * absent
+        totals.unavailable += perTask * unavailableCount
     }
 
-    /** A job that is cancelled, or that fails on every machine, has no capacity to lose. */
-    private fun counts(job: Job) = !job.cancelled && !job.isSuspect
+    /** Returns whether [job] counts towards its team's budget: cancelled and crash-looping jobs do not. */
+    private fun countsTowardsBudget(job: Job) = !job.cancelled && !job.isSuspect
 }
--- a/src/main/kotlin/flaxfield/drain/BudgetLimit.kt
+++ b/src/main/kotlin/flaxfield/drain/BudgetLimit.kt
@@ -1,8 +1,8 @@
 package flaxfield.drain
 
-/** How much of a team's capacity may be unavailable at once. */
+/** The limit on a team's capacity that may be unavailable at once. */
 sealed interface BudgetLimit {
-    /** The amount allowed to a team whose tasks take [expected] while nothing is lost. */
+    /** Returns the limit for a team whose placed and lost tasks take [expected]. */
     fun allowed(expected: Capacity): Capacity
 
     /** A fixed amount. */
@@ -10,12 +10,12 @@
         override fun allowed(expected: Capacity) = amount
     }
 
-    /** A percentage of the expected capacity, never rounded up: where it holds no single task, drains wait. */
+    /** A percentage of the expected capacity. It is never rounded up: if it covers no single task, drains wait. */
     data class Percent(val percent: Double) : BudgetLimit {
-        override fun allowed(expected: Capacity) = expected * (percent / PERCENT)
+        override fun allowed(expected: Capacity) = expected * (percent / HUNDRED_PERCENT)
     }
 
     private companion object {
-        const val PERCENT = 100.0
+        const val HUNDRED_PERCENT = 100.0
     }
 }
--- a/src/main/kotlin/flaxfield/drain/Capacity.kt
+++ b/src/main/kotlin/flaxfield/drain/Capacity.kt
@@ -2,24 +2,24 @@
 
 import flaxfield.jobs.JobSpec
 
-/** An amount of CPUs and accelerators, the resources that disruption budgets count. */
+/** An amount of CPUs and accelerators, the resources that disruption budgets limit. */
 data class Capacity(val cpus: Double, val accelerators: Double) {
-    /** The sum of both amounts. */
+    /** Returns the sum of both amounts. */
     operator fun plus(other: Capacity) = Capacity(cpus + other.cpus, accelerators + other.accelerators)
 
-    /** This amount [count] times. */
+    /** Returns this amount multiplied by [count]. */
     operator fun times(count: Int) = Capacity(cpus * count, accelerators * count)
 
-    /** This amount scaled by [factor]. */
+    /** Returns this amount multiplied by [factor]. */
     operator fun times(factor: Double) = Capacity(cpus * factor, accelerators * factor)
 
-    /** Whether this amount stays within [limit]. */
+    /** Returns whether this amount exceeds [limit] in neither resource. */
     fun within(limit: Capacity): Boolean = cpus <= limit.cpus + EPSILON && accelerators <= limit.accelerators + EPSILON
 
-    /** The smaller amount of each kind. */
+    /** Returns the smaller amount of each resource. */
     fun min(other: Capacity) = Capacity(minOf(cpus, other.cpus), minOf(accelerators, other.accelerators))
 
-    /** The larger of its two fractions of [limit]; 0 where this amount is 0. */
+    /** Returns the dominant share of [limit]: the larger of the CPU and the accelerator fraction. */
     fun fractionOf(limit: Capacity): Double =
         maxOf(fraction(cpus, limit.cpus), fraction(accelerators, limit.accelerators))
 
@@ -33,10 +33,10 @@
         /** No capacity at all. */
         val NONE = Capacity(0.0, 0.0)
 
-        /** Absorbs rounding errors in sums of decimal amounts. */
+        /** Tolerates rounding errors in sums of amounts. */
         private const val EPSILON = 1e-6
 
-        /** What one task of a job takes. */
+        /** Returns the capacity that one task of a job takes. */
         fun of(spec: JobSpec) = Capacity(spec.taskResources.cpus, spec.taskResources.gpus)
     }
 }
--- a/src/main/kotlin/flaxfield/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/flaxfield/drain/DisruptionBudgets.kt
@@ -1,22 +1,22 @@
 package flaxfield.drain
 
-/** The rules of the fleet files for evictions, and how each team stands against them. All files must be known. */
+/** Evaluates evictions against the budgets and repeat policies of [policy] and the availability in [snapshot]. */
 internal class DisruptionBudgets(private val snapshot: FleetSnapshot, val policy: FleetPolicy) {
     private val availability = Availability(snapshot, policy)
 
-    /** How [team] stands against its budget. */
+    /** Returns the availability of [team]. */
     fun of(team: String): TeamAvailability = availability.of(team)
 
-    /** Whether the class of the unit's job allows its tasks to be started again. */
+    /** Returns whether the class of the unit's job allows its tasks to be stopped and restarted. */
     fun allowsRestart(unit: DisruptionUnit): Boolean = policy.repeat(unit.job.spec.jobClass).allows(unit.job.spec)
 
-    /** Whether the unit fits its team's budget while nothing else is unavailable. */
-    fun everPermits(unit: DisruptionUnit): Boolean = of(unit.team).everPermits(unit.capacity)
+    /** Returns whether the unit would fit its team's budget if nothing else were unavailable. */
+    fun fitsWholeBudget(unit: DisruptionUnit): Boolean = of(unit.team).fitsWholeBudget(unit.capacity)
 
-    /** What evicting [unit] takes from its team's budget: nothing for tasks that are already unavailable. */
+    /** Returns the budget cost of evicting [unit]; tasks that are already unavailable cost nothing. */
     fun cost(unit: DisruptionUnit): Capacity =
-        Capacity.of(unit.job.spec) * unit.tasks.count { availability.absence(unit.job, it) == null }
+        Capacity.of(unit.job.spec) * unit.tasks.count { availability.unavailabilityReason(unit.job, it) == null }
 
-    /** How many tasks the ledger of [team] holds. */
+    /** Returns the number of tasks in the ledger of [team]. */
     fun ledgerEntries(team: String): Int = snapshot.ledgers[team]?.entries?.size ?: 0
 }
--- a/src/main/kotlin/flaxfield/drain/DrainAction.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainAction.kt
@@ -2,29 +2,29 @@
 
 import flaxfield.fleet.Machine
 
-/** What the leader should commit next for one drain. */
+/** An action that the leader commits for one drain. */
 sealed interface DrainAction {
     val drain: DrainRecord
 
-    /** Records how many machines the drain is for; a [target] of 0 fails the drain. */
+    /** Records the number of machines to drain; a [target] of 0 fails the drain. */
     data class SetTarget(override val drain: DrainRecord, val target: Int) : DrainAction
 
-    /** Keeps new work off [machines]. */
+    /** Cordons [machines], so that no new tasks are placed on them. */
     data class Cordon(override val drain: DrainRecord, val machines: List<Machine>) : DrainAction
 
-    /** Stops [units] on [machines], as many of them as one transaction holds; each is charged to its team. */
+    /** Evicts [units] from [machines], as many as one transaction holds, and charges them to their teams' ledgers. */
     data class Evict(override val drain: DrainRecord, val machines: List<Machine>, val units: List<DisruptionUnit>) :
         DrainAction
 
-    /** Hands empty [machines] over to scale-in. */
+    /** Marks the empty [machines] for scale-in. */
     data class Retire(override val drain: DrainRecord, val machines: List<Machine>) : DrainAction
 
-    /** Opens [machines] to new work again. */
+    /** Uncordons [machines], so that new tasks can be placed on them. */
     data class Uncordon(override val drain: DrainRecord, val machines: List<Machine>) : DrainAction
 
-    /** Nothing is left to do: the drain ends in [phase]. */
+    /** Ends the drain in the final [phase]. */
     data class Finish(override val drain: DrainRecord, val phase: DrainPhase) : DrainAction
 }
 
-/** The actions of all drains at one revision, and by drain and machine why what waits does so. */
+/** The actions of all drains at one revision, and the reasons why machines wait, by drain and machine. */
 data class DrainPlan(val actions: List<DrainAction>, val waits: Map<String, Map<String, WaitReason>>)
--- a/src/main/kotlin/flaxfield/drain/DrainCodec.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainCodec.kt
@@ -4,9 +4,9 @@
 import flaxfield.codec.MalformedException
 import flaxfield.jobs.TaskId
 
-/** Stored forms of the drain records; field names and values are part of the stored data and must not change. */
+/** Encodes and decodes the stored records of drains. Field names and values are stored data and must not change. */
 object DrainCodec {
-    /** The stored form of a drain; its id is part of the key. */
+    /** Returns the stored value of a drain; its id is part of the key. */
     fun encode(drain: DrainRecord): Map<String, Any?> = mapOf(
         "selector" to encode(drain.selector),
         "at" to drain.orderedMs,
@@ -16,7 +16,7 @@
         "note" to drain.note,
     )
 
-    /** The drain called [id], as it is stored at [version]; throws [MalformedException]. */
+    /** Decodes the drain with the given [id], stored at [version]; throws [MalformedException]. */
     fun drain(id: String, fields: FieldMap, version: ULong) = DrainRecord(
         id,
         selector(fields.requireMap("selector")),
@@ -44,14 +44,14 @@
         fields.number("percent"),
     )
 
-    /** The stored form of a ledger; its team is part of the key. */
+    /** Returns the stored value of a ledger; its team is part of the key. */
     fun encode(ledger: Ledger): Map<String, Any?> = mapOf(
         "entries" to ledger.entries.map { (task, disruption) ->
             listOf(task.job, task.index, disruption.attempt, disruption.drain)
         },
     )
 
-    /** The ledger of [team], as it is stored at [version]. */
+    /** Decodes the ledger of [team], stored at [version]. */
     fun ledger(team: String, fields: FieldMap, version: ULong) = Ledger(
         team,
         fields.list("entries").orEmpty().associate { row ->
@@ -62,7 +62,7 @@
         version,
     )
 
-    /** The stored form of a controller's fleet file. */
+    /** Returns the stored value of a controller's fleet file. */
     fun encode(config: FleetConfig): Map<String, Any?> = mapOf(
         "run" to config.incarnation,
         "budgets" to config.budgets.mapValues { encode(it.value) },
@@ -74,13 +74,13 @@
         "recovery_tiers" to config.recoveryTiers,
     )
 
-    /** A controller's fleet file, as it is stored; throws [MalformedException]. */
+    /** Decodes a controller's fleet file; throws [MalformedException]. */
     fun config(fields: FieldMap) = FleetConfig(
         fields.requireText("run"),
         fields.requireMap("budgets").let { all -> all.map.keys.associateWith { limit(all.requireMap(it)) } },
         limit(fields.requireMap("default_budget")),
-        fields.requireMap("classes").let { all -> all.map.keys.associateWith { repeat(all.requireText(it)) } },
-        repeat(fields.requireText("default_repeat")),
+        fields.requireMap("classes").let { all -> all.map.keys.associateWith { repeatPolicy(all.requireText(it)) } },
+        repeatPolicy(fields.requireText("default_repeat")),
         fields.requireInt("surge_machines"),
         fields.requireInt("max_cordoned"),
         fields.nestedMap("recovery_tiers")?.let { all -> all.map.keys.associateWith { all.requireInt(it) } }.orEmpty(),
@@ -97,6 +97,7 @@
         return BudgetLimit.Absolute(Capacity(fields.requireNumber("cpus"), fields.requireNumber("accelerators")))
     }
 
-    private fun repeat(text: String): RepeatPolicy = RepeatPolicy.entries.firstOrNull { it.name.lowercase() == text }
-        ?: throw MalformedException("repeat policy $text")
+    private fun repeatPolicy(text: String): RepeatPolicy =
+        RepeatPolicy.entries.firstOrNull { it.name.lowercase() == text }
+            ?: throw MalformedException("unknown repeat policy '$text'")
 }
--- a/src/main/kotlin/flaxfield/drain/DrainOrder.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrder.kt
@@ -1,18 +1,18 @@
 package flaxfield.drain
 
-/** An operator's order about one drain. */
+/** An operator's order to start or change a drain. */
 sealed interface DrainOrder {
     val id: String
 
-    /** Drains the machines that [selector] matches. */
+    /** Starts a drain of the machines that [selector] matches. */
     data class Start(override val id: String, val selector: Selector) : DrainOrder
 
-    /** Evicts nothing more until the drain is resumed. */
+    /** Suspends the drain: it cordons and evicts nothing until it is resumed. */
     data class Pause(override val id: String) : DrainOrder
 
     /** Continues a paused drain. */
     data class Resume(override val id: String) : DrainOrder
 
-    /** Ends the drain and uncordons the machines that are left. */
+    /** Ends the drain and uncordons its remaining machines. */
     data class Cancel(override val id: String) : DrainOrder
 }
--- a/src/main/kotlin/flaxfield/drain/DrainOrderRules.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrderRules.kt
@@ -1,36 +1,41 @@
 package flaxfield.drain
 
-/** What an order does to a drain's record. */
-sealed interface NextRecord {
-    /** Nothing: the record is as the order wants it. */
-    data class Keep(val drain: DrainRecord) : NextRecord
+/** The effect of an order on a drain's record. */
+sealed interface OrderEffect {
+    /** The order changes nothing: [drain] is in the ordered state already. */
+    data class Unchanged(val drain: DrainRecord) : OrderEffect
 
-    /** The record is to be replaced by [drain]. */
-    data class Write(val drain: DrainRecord) : NextRecord
+    /** The order replaces the record with [drain]. */
+    data class Write(val drain: DrainRecord) : OrderEffect
 
     /** The order is refused. */
-    data class Refuse(val fault: OrderFault, val message: String) : NextRecord
+    data class Refuse(val fault: OrderFault, val message: String) : OrderEffect
 }
 
-/** Pure: the effect of an order on the present record. */
+/** Decides the effect of an order on a drain's current record. Pure. */
 object DrainOrderRules {
-    /** The effect of [order], where [known] is the present record of its drain. */
-    fun next(order: DrainOrder, known: DrainRecord?, snapshot: FleetSnapshot, nowMs: Long): NextRecord {
-        if (order is DrainOrder.Start) return start(order, known, snapshot, nowMs)
-        if (known == null) return notFound("no drain ${order.id}")
-        return change(order, known)
+    /** Returns the effect of [order] on [existing], the current record of its drain; null if there is none. */
+    fun effect(order: DrainOrder, existing: DrainRecord?, snapshot: FleetSnapshot, nowMs: Long): OrderEffect {
+        if (order is DrainOrder.Start) return start(order, existing, snapshot, nowMs)
+        if (existing == null) return notFound("no drain ${order.id}")
+        return change(order, existing)
     }
 
-    private fun start(order: DrainOrder.Start, known: DrainRecord?, snapshot: FleetSnapshot, nowMs: Long): NextRecord {
-        if (known != null) {
-            if (known.selector == order.selector) return NextRecord.Keep(known)
-            return NextRecord.Refuse(OrderFault.CONFLICT, "drain ${order.id} is there with another selector")
+    private fun start(
+        order: DrainOrder.Start,
+        existing: DrainRecord?,
+        snapshot: FleetSnapshot,
+        nowMs: Long,
+    ): OrderEffect {
+        if (existing != null) {
+            if (existing.selector == order.selector) return OrderEffect.Unchanged(existing)
+            return OrderEffect.Refuse(OrderFault.CONFLICT, "drain ${order.id} exists with another selector")
         }
-        fault(order, snapshot)?.let { return it }
-        return NextRecord.Write(DrainRecord(order.id, order.selector, nowMs, DrainPhase.ACTIVE, null, 0, "", 0uL))
+        validate(order, snapshot)?.let { return it }
+        return OrderEffect.Write(DrainRecord(order.id, order.selector, nowMs, DrainPhase.ACTIVE, null, 0, "", 0uL))
     }
 
-    private fun fault(order: DrainOrder.Start, snapshot: FleetSnapshot): NextRecord.Refuse? {
+    private fun validate(order: DrainOrder.Start, snapshot: FleetSnapshot): OrderEffect.Refuse? {
         val selector = order.selector
         return when {
             !ID.matches(order.id) -> invalid("drain id '${order.id}' is not 1 to 40 letters, digits and dashes")
@@ -44,7 +49,7 @@
         selector.zone == null &&
         selector.olderThanS == null
 
-    private fun unknownName(selector: Selector, snapshot: FleetSnapshot): NextRecord.Refuse? {
+    private fun unknownName(selector: Selector, snapshot: FleetSnapshot): OrderEffect.Refuse? {
         val unknown = selector.machines.filter { it !in snapshot.machines }.minOrNull()
         val zones = snapshot.machineTypes.values.flatMapTo(HashSet()) { it.zones }
         return when {
@@ -56,34 +61,38 @@
         }
     }
 
-    /** Written so that a number that is NaN is refused. */
-    private fun invalidNumber(selector: Selector): NextRecord.Refuse? = when {
+    /** The conditions are negated so that NaN is refused. */
+    private fun invalidNumber(selector: Selector): OrderEffect.Refuse? = when {
         selector.percent != null && !(selector.percent > 0.0 && selector.percent <= MAX_PERCENT) ->
             invalid("percent is not above 0 and at most 100")
         selector.olderThanS != null && !(selector.olderThanS >= 0.0) -> invalid("the age is negative")
         else -> null
     }
 
-    private fun change(order: DrainOrder, known: DrainRecord): NextRecord = when (order) {
-        is DrainOrder.Pause -> move(known, DrainPhase.PAUSED, setOf(DrainPhase.ACTIVE))
-        is DrainOrder.Resume -> move(known, DrainPhase.ACTIVE, setOf(DrainPhase.PAUSED))
-        is DrainOrder.Cancel -> if (known.phase == DrainPhase.CANCELLED) {
-            NextRecord.Keep(known)
+    private fun change(order: DrainOrder, existing: DrainRecord): OrderEffect = when (order) {
+        is DrainOrder.Pause -> transition(existing, DrainPhase.PAUSED, setOf(DrainPhase.ACTIVE))
+        is DrainOrder.Resume -> transition(existing, DrainPhase.ACTIVE, setOf(DrainPhase.PAUSED))
+        is DrainOrder.Cancel -> if (existing.phase == DrainPhase.CANCELLED) {
+            OrderEffect.Unchanged(existing)
         } else {
-            move(known, DrainPhase.CANCELLING, setOf(DrainPhase.ACTIVE, DrainPhase.PAUSED))
+            transition(existing, DrainPhase.CANCELLING, setOf(DrainPhase.ACTIVE, DrainPhase.PAUSED))
         }
-        is DrainOrder.Start -> NextRecord.Keep(known)
+        is DrainOrder.Start -> OrderEffect.Unchanged(existing)
     }
 
-    private fun move(known: DrainRecord, to: DrainPhase, from: Set<DrainPhase>): NextRecord = when (known.phase) {
-        to -> NextRecord.Keep(known)
-        in from -> NextRecord.Write(known.copy(phase = to))
-        else -> NextRecord.Refuse(OrderFault.CONFLICT, "drain ${known.id} is ${known.phase.name.lowercase()}")
-    }
+    private fun transition(existing: DrainRecord, to: DrainPhase, from: Set<DrainPhase>): OrderEffect =
+        when (existing.phase) {
+            to -> OrderEffect.Unchanged(existing)
+            in from -> OrderEffect.Write(existing.copy(phase = to))
+            else -> OrderEffect.Refuse(
+                OrderFault.CONFLICT,
+                "drain ${existing.id} is ${existing.phase.name.lowercase()}",
+            )
+        }
 
-    private fun notFound(message: String) = NextRecord.Refuse(OrderFault.NOT_FOUND, message)
+    private fun notFound(message: String) = OrderEffect.Refuse(OrderFault.NOT_FOUND, message)
 
-    private fun invalid(message: String) = NextRecord.Refuse(OrderFault.INVALID, message)
+    private fun invalid(message: String) = OrderEffect.Refuse(OrderFault.INVALID, message)
 
     private val ID = Regex("[A-Za-z0-9-]{1,40}")
     private const val MAX_PERCENT = 100.0
--- a/src/main/kotlin/flaxfield/drain/DrainOrders.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrders.kt
@@ -6,25 +6,25 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Records operators' orders, on whichever controller they reach; the leader carries them out. Orders are idempotent: a
- * repeat under the same id gets the answer of the first one.
+ * Records operators' orders on any controller; the leader carries them out. Orders are idempotent: a retry with the
+ * same id gets the same result as the first submission.
  */
 class DrainOrders(private val context: ControllerContext) {
     private val writer = OrderWriter(context)
 
-    /** Takes [order]; [done] is called on the owner thread. */
-    fun take(order: DrainOrder, snapshot: FleetSnapshot, done: (OrderResult<DrainRecord>) -> Unit) {
-        val known = snapshot.drains[order.id]
-        when (val next = DrainOrderRules.next(order, known, snapshot, context.nowMs)) {
-            is NextRecord.Keep -> done(OrderResult.Recorded(next.drain, snapshot.revision))
-            is NextRecord.Refuse -> done(OrderResult.Refused(next.fault, next.message))
-            is NextRecord.Write -> write(next.drain, done)
+    /** Records [order]; [done] is called on the owner thread. */
+    fun submit(order: DrainOrder, snapshot: FleetSnapshot, done: (OrderResult<DrainRecord>) -> Unit) {
+        val existing = snapshot.drains[order.id]
+        when (val effect = DrainOrderRules.effect(order, existing, snapshot, context.nowMs)) {
+            is OrderEffect.Unchanged -> done(OrderResult.Recorded(effect.drain, snapshot.revision))
+            is OrderEffect.Refuse -> done(OrderResult.Refused(effect.fault, effect.message))
+            is OrderEffect.Write -> write(effect.drain, done)
         }
     }
 
     private fun write(drain: DrainRecord, done: (OrderResult<DrainRecord>) -> Unit) {
         val value = DrainCodec.encode(drain)
-        if (TransactionSize.json(value) > context.settings.stateLimits.valueKb * BYTES_PER_KIB * SELECTOR_SHARE) {
+        if (TransactionSize.json(value) > context.settings.stateLimits.valueKb * BYTES_PER_KIB * MAX_RECORD_FILL) {
             return done(OrderResult.Refused(OrderFault.INVALID, "the selector names too many machines"))
         }
         writer.write("drain ${drain.id}", FleetKeys.DRAIN + drain.id, drain.version, value) { result ->
@@ -38,7 +38,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.drain")
 
-        /** The fraction of a value that a selector may fill; the rest is for the drain's progress. */
-        const val SELECTOR_SHARE = 0.9
+        /** The fraction of the maximum value size that a new record may fill; the rest is for the drain's progress. */
+        const val MAX_RECORD_FILL = 0.9
     }
 }
--- a/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
@@ -3,7 +3,7 @@
 import flaxfield.fleet.Machine
 import flaxfield.fleet.MachinePhase
 
-/** Pure: the next actions of all drains at one revision. Makes one plan; not to be used again. */
+/** Plans the next actions of all drains at one revision. Pure; an instance makes a single plan. */
 class DrainPlanner(private val snapshot: FleetSnapshot, maxLedgerEntries: Int = Int.MAX_VALUE) {
     private val budgets = snapshot.policy()?.let { DisruptionBudgets(snapshot, it) }
     private val drained = DrainedMachines(snapshot)
@@ -11,22 +11,23 @@
     private val evictions = EvictionPlanner(snapshot, budgets, drained, maxLedgerEntries, waits)
     private val actions = ArrayList<DrainAction>()
 
-    /** The plan at this revision. */
+    /** Returns the plan at this revision; must be called only once. */
     fun plan(): DrainPlan {
-        val open = snapshot.drains.values.filter { !it.phase.isFinished }.sortedWith(OLDEST_FIRST)
-        for (drain in open) {
+        val unfinished = snapshot.drains.values.filter { !it.phase.isFinished }.sortedWith(OLDEST_FIRST)
+        for (drain in unfinished) {
             when (drain.phase) {
                 DrainPhase.ACTIVE -> planActive(drain)
                 DrainPhase.CANCELLING -> planCancelling(drain)
                 else -> Unit
             }
         }
-        // A task stopped before all machines of its drain are cordoned might be placed on one that is cordoned next.
-        val cordoning = actions
+        // Evictions wait until all machines of the drain are cordoned: otherwise an evicted task might be placed on a
+        // machine that is cordoned next, and be evicted again.
+        val cordoningDrains = actions
             .filter { it is DrainAction.Cordon || it is DrainAction.SetTarget }
             .mapTo(HashSet()) { it.drain.id }
-        val evicting = open.filter { it.phase == DrainPhase.ACTIVE && it.id !in cordoning }
-        evictions.plan(evicting)?.let { actions += it }
+        val evictingDrains = unfinished.filter { it.phase == DrainPhase.ACTIVE && it.id !in cordoningDrains }
+        evictions.plan(evictingDrains)?.let { actions += it }
         return DrainPlan(actions, waits.toMap())
     }
 
@@ -63,7 +64,7 @@
     }
 
     private fun planCancelling(drain: DrainRecord) {
-        // A machine that is empty and being returned to the cloud is not opened again.
+        // Machines that have left phase UP are being returned to the cloud and stay cordoned.
         val machines = drained.of(drain).filter { it.phase == MachinePhase.UP }
         actions += if (machines.isEmpty()) {
             DrainAction.Finish(drain, DrainPhase.CANCELLED)
@@ -72,7 +73,7 @@
         }
     }
 
-    /** Machines that [drain] selects and that no drain has cordoned yet, the oldest first. */
+    /** Returns the schedulable machines that [drain] selects and no drain has cordoned yet, ordered from the oldest. */
     private fun candidates(drain: DrainRecord): List<Machine> = snapshot.machines.values
         .filter { it.takesWork && drain.selector.matches(it, drain.orderedMs) }
         .sortedWith(compareBy({ it.sinceMs }, { it.name }))
@@ -80,16 +81,16 @@
     private fun countTarget(drain: DrainRecord): Int {
         val all = candidates(drain).size
         val percent = drain.selector.percent ?: return all
-        return Math.ceil(all * percent / PERCENT - ROUNDING).toInt()
+        return Math.ceil(all * percent / HUNDRED_PERCENT - EPSILON).toInt()
     }
 
     companion object {
-        /** Stands for all machines of a drain in the reasons. */
+        /** The key of wait reasons that apply to all machines of a drain. */
         const val ALL_MACHINES = "*"
-        private const val PERCENT = 100.0
+        private const val HUNDRED_PERCENT = 100.0
 
-        /** Keeps a rounding error from raising a percentage of a whole number of machines by one machine. */
-        private const val ROUNDING = 1e-9
+        /** Prevents a rounding error from adding a machine where the percentage is a whole number of machines. */
+        private const val EPSILON = 1e-9
 
         private val OLDEST_FIRST = compareBy<DrainRecord>({ it.orderedMs }, { it.id })
     }
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -14,19 +14,19 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Commits the actions that [DrainPlanner] plans; only the leader runs it, on the owner thread. Each action is one
- * transaction conditional on the term and on the versions that the plan was made from, so that neither an earlier
- * leader nor a delayed duplicate can add to it. Stop requests to workers follow from the committed records.
+ * Commits the actions that [DrainPlanner] plans. Only the leader runs it, on the owner thread. Each action is one
+ * transaction, conditional on the term and on the versions in the planner's snapshot: transactions of a former leader
+ * and delayed duplicates fail. Workers are asked to stop tasks only once the evictions are committed.
  */
 class DrainReconciler(private val context: ControllerContext) {
     private val limits = context.settings.stateLimits
-    private val ledgers = LedgerReleaser(context)
-    private val finishedDrains = FinishedDrainCleaner(context)
+    private val ledgerReleaser = LedgerReleaser(context)
+    private val finishedDrainCleaner = FinishedDrainCleaner(context)
 
-    /** Plans from [snapshot] and submits what may be written now. */
+    /** Plans from [snapshot] and submits as many actions as the write budget allows. */
     fun run(snapshot: FleetSnapshot) {
         val term = context.leadership.term() ?: return
-        if (snapshot.ledgers.values.any { it.entries.isNotEmpty() }) ledgers.releaseFinished(snapshot)
+        if (snapshot.ledgers.values.any { it.entries.isNotEmpty() }) ledgerReleaser.releaseFinished(snapshot)
         if (snapshot.drains.isEmpty()) return
         for (action in DrainPlanner(snapshot, LedgerLimits.maxEntries(limits)).plan().actions) {
             if (!context.transactions.mayWrite(WriteCause.FLEET, 1)) return
@@ -39,13 +39,13 @@
                 is DrainAction.Finish -> write(action.drain.copy(phase = action.phase))
             }
         }
-        finishedDrains.deleteOldest(snapshot)
+        finishedDrainCleaner.deleteOldest(snapshot)
     }
 
     private fun setTarget(action: DrainAction.SetTarget) {
         val drain = action.drain
         if (action.target > 0) return write(drain.copy(target = action.target))
-        write(drain.copy(target = 0, phase = DrainPhase.FAILED, note = "no machine fits that no other drain has"))
+        write(drain.copy(target = 0, phase = DrainPhase.FAILED, note = "no schedulable machine matches the selector"))
     }
 
     private fun write(drain: DrainRecord) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** The same transaction adds the machines to the drain's count of cordoned machines. */
+    /** Cordons machines and adds them to the drain's count of cordoned machines in the same transaction. */
     private fun cordon(action: DrainAction.Cordon, term: ULong) {
         val key = FleetKeys.DRAIN + action.drain.id
         if (context.transactions.isWritePending(key)) return
@@ -93,14 +93,14 @@
         commit(action.drain, machines, machines.map { put(it.copy(cordon = null)) }, "machine_uncordoned", term)
     }
 
-    /** Those of [machines] without a write under way, as many as a bulk transaction of [maxChanges] takes now. */
+    /** Returns the [machines] without a pending write, as many as a bulk transaction of [maxChanges] takes now. */
     private fun writable(machines: List<Machine>, maxChanges: Int): List<Machine> = machines
         .filter { !context.transactions.isWritePending(StoreKeys.MACHINE + it.name) }
         .take(context.transactions.budget.bulk(maxChanges))
 
     private fun put(machine: Machine) = Change.Put(StoreKeys.MACHINE + machine.name, FleetCodec.encode(machine))
 
-    /** Commits [changes] of [machines], and logs [event] for each of them when they are committed. */
+    /** Submits [changes] of [machines] and, once they are committed, logs [event] for each machine. */
     private fun commit(
         drain: DrainRecord,
         machines: List<Machine>,
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Evicts as many units as one transaction holds, and charges each of their tasks to its team's ledger. */
+    /** Evicts as many units as one transaction holds and charges each of their tasks to its team's ledger. */
     private fun evict(snapshot: FleetSnapshot, action: DrainAction.Evict, term: ULong) {
         var units = action.units
         while (units.isNotEmpty()) {
@@ -129,7 +129,7 @@
                 if (transaction.changes.any { context.transactions.isWritePending(it.key) }) return
                 return submitEviction(action, units, transaction, term)
             }
-            // Halved down to a single unit, since the first unit alone may be larger than all others together.
+            // Halves the batch down to a single unit: the first unit may be larger than all others together.
             units = units.take(units.size / 2)
         }
         log.error("event=eviction_too_large drain={} machines={}", action.drain.id, names(action))
--- a/src/main/kotlin/flaxfield/drain/DrainedMachines.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainedMachines.kt
@@ -2,21 +2,21 @@
 
 import flaxfield.fleet.Machine
 
-/** The machines that each drain has cordoned, and the evictable tasks on them. */
+/** Indexes the machines that each drain has cordoned and the tasks on them. */
 internal class DrainedMachines(private val snapshot: FleetSnapshot) {
     private val byDrain: Map<String, List<Machine>> = snapshot.machines.values
         .filter { it.cordon != null }
         .groupBy { it.cordon.orEmpty() }
 
-    /** How many machines are cordoned by all drains together. */
+    /** The number of machines that all drains together have cordoned. */
     val count: Int get() = byDrain.values.sumOf { it.size }
 
     private val unitsByMachine: Map<String, List<DisruptionUnit>> by lazy(LazyThreadSafetyMode.NONE, ::findUnits)
 
-    /** The machines that [drain] has cordoned. */
+    /** Returns the machines that [drain] has cordoned. */
     fun of(drain: DrainRecord): List<Machine> = byDrain[drain.id].orEmpty()
 
-    /** What is placed on [machine]. */
+    /** Returns the tasks on [machine] as disruption units; a gang is listed with all its tasks. */
     fun units(machine: Machine): List<DisruptionUnit> = unitsByMachine[machine.name].orEmpty()
 
     private fun findUnits(): Map<String, List<DisruptionUnit>> {
--- a/src/main/kotlin/flaxfield/drain/EvictionBatch.kt
+++ b/src/main/kotlin/flaxfield/drain/EvictionBatch.kt
@@ -3,24 +3,24 @@
 import flaxfield.fleet.Machine
 import flaxfield.jobs.TaskId
 
-/** The evictions that one machine could contribute to a batch. */
+/** The evictions from one machine that a batch can include. */
 internal class MachineEvictions(
     val machine: Machine,
     val units: List<DisruptionUnit>,
-    /** What [units] cost, by team. */
+    /** The budget cost of [units], by team. */
     val costs: Map<String, Capacity>,
-    /** Whether nothing that can be stopped is left on the machine afterwards. */
+    /** Whether these evictions leave no task on the machine that can still be stopped. */
     val emptiesMachine: Boolean,
-    /** The largest fraction of a team's budget that is in use afterwards. */
+    /** The largest fraction of any affected team's budget that is in use after these evictions. */
     val budgetUse: Double,
-    /** How many tasks that can be stopped remain on the machine afterwards. */
+    /** The number of tasks on the machine that can still be stopped after these evictions. */
     val remainingTasks: Int,
 ) {
     companion object {
         /**
-         * Machines that are emptied come first, and of them the one that leaves its teams the largest fraction of their
-         * budgets: teams with much of their budget left thus go before others. Of machines that are not emptied, the
-         * one with the fewest tasks left comes first.
+         * Orders machines that are emptied first, by ascending use of their teams' budgets: teams with much of their
+         * budget left are disrupted before others. The machines that are not emptied follow, by ascending number of
+         * remaining tasks.
          */
         val PREFERRED_FIRST: Comparator<MachineEvictions> = compareBy(
             { !it.emptiesMachine },
@@ -31,7 +31,7 @@
     }
 }
 
-/** The evictions chosen so far for one transaction, and what they cost each team. */
+/** Collects the evictions for one transaction and their cost by team. */
 internal class EvictionBatch {
     private val chosen = ArrayList<MachineEvictions>()
     private val costs = HashMap<String, Capacity>()
@@ -41,10 +41,10 @@
     val machines: List<Machine> get() = chosen.map { it.machine }
     val units: List<DisruptionUnit> get() = chosen.flatMap { it.units }
 
-    /** What the batch costs [team] so far. */
+    /** Returns the cost of the batch to the budget of [team] so far. */
     fun cost(team: String): Capacity = costs[team] ?: Capacity.NONE
 
-    /** Whether [unit] is in the batch already: a gang is evicted once, though it is on several machines. */
+    /** Returns whether the batch includes [unit]: a gang is evicted once, though it runs on several machines. */
     operator fun contains(unit: DisruptionUnit): Boolean = firstTask(unit) in firstTasks
 
     fun add(evictions: MachineEvictions) {
--- a/src/main/kotlin/flaxfield/drain/EvictionPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/EvictionPlanner.kt
@@ -5,8 +5,8 @@
 import flaxfield.fleet.MachinePhase
 
 /**
- * Composes the next batch of evictions, machine by machine while the teams' budgets allow. Pure but for the reasons
- * that it adds to [waits]; [budgets] is null while a controller's fleet file is unknown, and then nothing is evicted.
+ * Plans the next batch of evictions, machine by machine, within the teams' budgets. Pure, except that it adds to
+ * [waits] why machines wait. While a controller's fleet file is unknown, [budgets] is null and nothing is evicted.
  */
 internal class EvictionPlanner(
     private val snapshot: FleetSnapshot,
@@ -15,12 +15,12 @@
     private val maxLedgerEntries: Int,
     private val waits: WaitReasons,
 ) {
-    /** For each team the drain that waits for its budget: a younger drain must not use it up meanwhile. */
+    /** The oldest drain that waits for each team's budget; younger drains must not use up that budget meanwhile. */
     private val waitingDrainByTeam = HashMap<String, String>()
 
     /**
-     * The batch of the first of [drains], oldest first, that can evict anything; null if none can. The other drains
-     * are looked at too, so that the reasons why they wait are known.
+     * Returns the batch of the first of [drains], ordered from the oldest, that can evict anything; null if none can.
+     * The drains after it are evaluated too, to find the reasons why they wait.
      */
     fun plan(drains: List<DrainRecord>): DrainAction.Evict? {
         val batch = EvictionBatch()
@@ -36,15 +36,17 @@
     }
 
     private fun fill(batch: EvictionBatch, drain: DrainRecord, candidates: List<MachineEvictions>) {
-        var open = candidates
-        while (open.isNotEmpty() && batch.size < MAX_MACHINES) {
-            batch.add(open.minWith(MachineEvictions.PREFERRED_FIRST))
+        var remaining = candidates
+        while (remaining.isNotEmpty() && batch.size < MAX_MACHINES_PER_BATCH) {
+            batch.add(remaining.minWith(MachineEvictions.PREFERRED_FIRST))
             val chosen = batch.machines.mapTo(HashSet()) { it.name }
-            open = open.filter { it.machine.name !in chosen }.mapNotNull { candidate(drain, it.machine, batch) }
+            remaining = remaining
+                .filter { it.machine.name !in chosen }
+                .mapNotNull { candidate(drain, it.machine, batch) }
         }
     }
 
-    /** What can be evicted from [machine] in addition to [batch]; null, with the reason noted, if nothing can. */
+    /** Returns the evictions from [machine] that [batch] can add; adds a wait reason and returns null if it can't. */
     private fun candidate(drain: DrainRecord, machine: Machine, batch: EvictionBatch): MachineEvictions? {
         if (budgets == null) {
             waits.add(drain, machine.name, WaitReason.WithoutConfig(snapshot.membersWithoutConfig()))
@@ -56,25 +58,25 @@
             waits.add(drain, machine.name, reason)
             return null
         }
-        val open = units.filter { it.isStoppable && it !in batch }
-        if (open.isEmpty()) return null
+        val evictable = units.filter { it.isStoppable && it !in batch }
+        if (evictable.isEmpty()) return null
         val costs = HashMap<String, Capacity>()
-        val affordable = open.filter { charge(budgets, drain, machine, it, batch, costs) }
+        val affordable = evictable.filter { charge(budgets, drain, machine, it, batch, costs) }
         if (affordable.isEmpty()) return null
         return MachineEvictions(
             machine = machine,
             units = affordable,
             costs = costs,
-            emptiesMachine = affordable.size == open.size,
+            emptiesMachine = affordable.size == evictable.size,
             budgetUse = costs.maxOf { (team, cost) -> budgetUse(budgets.of(team), batch.cost(team) + cost) },
-            remainingTasks = open.sumOf { it.tasks.size } - affordable.sumOf { it.tasks.size },
+            remainingTasks = evictable.sumOf { it.tasks.size } - affordable.sumOf { it.tasks.size },
         )
     }
 
     private fun budgetUse(team: TeamAvailability, cost: Capacity): Double =
         (team.unavailable + cost).fractionOf(team.allowed)
 
-    /** Why nothing on [machine] may be evicted now, however much is left of the budgets; null if something may. */
+    /** Returns why [machine] can't be drained now, regardless of the remaining budgets; null if it can. */
     private fun blockingReason(
         budgets: DisruptionBudgets,
         machine: Machine,
@@ -82,14 +84,14 @@
     ): WaitReason? {
         if (machine.phase != MachinePhase.UP || units.isEmpty()) return null
         val health = snapshot.machineStatuses[machine.name]?.state ?: MachineHealth.UNSEEN
-        if (health in UNREACHABLE) return WaitReason.NotReporting(health)
-        val live = units.filter { !it.job.cancelled }
-        // While one task must end by itself the machine is kept, and the other tasks run on until then.
-        val forbidden = live.firstOrNull { !budgets.allowsRestart(it) }
+        if (health in UNDRAINABLE) return WaitReason.NotReporting(health)
+        val activeUnits = units.filter { !it.job.cancelled }
+        // While a task that forbids restarts runs, the machine can't be emptied: its other tasks run on too.
+        val forbidden = activeUnits.firstOrNull { !budgets.allowsRestart(it) }
         if (forbidden != null) return restartForbidden(budgets, forbidden)
-        val inTransition = live.firstOrNull { it.job.isGang && it.isDisrupted }
+        val inTransition = activeUnits.firstOrNull { it.job.isGang && it.isDisrupted }
         if (inTransition != null) return WaitReason.GangInTransition(inTransition.job.id)
-        val tooLarge = live.firstOrNull { it.isStoppable && !budgets.everPermits(it) }
+        val tooLarge = activeUnits.firstOrNull { it.isStoppable && !budgets.fitsWholeBudget(it) }
         if (tooLarge != null) return largerThanBudget(budgets, tooLarge)
         if (units.none { it.isStoppable }) return WaitReason.Stopping(units.sumOf { it.tasks.size })
         return null
@@ -103,7 +105,10 @@
     private fun largerThanBudget(budgets: DisruptionBudgets, unit: DisruptionUnit): WaitReason =
         WaitReason.LargerThanBudget(unit.job.id, unit.team, unit.capacity, budgets.of(unit.team).allowed)
 
-    /** Adds the cost of [unit] to [costs], this machine's costs by team; false, with the reason noted, if it can't. */
+    /**
+     * Adds the cost of [unit] to [costs], the machine's costs by team. If the unit can't be evicted now, adds a wait
+     * reason and returns false.
+     */
     private fun charge(
         budgets: DisruptionBudgets,
         drain: DrainRecord,
@@ -114,7 +119,7 @@
     ): Boolean {
         val charged = costs[unit.team] ?: Capacity.NONE
         val cost = budgets.cost(unit)
-        val reason = refusal(budgets, drain, unit, batch.cost(unit.team) + charged, cost)
+        val reason = chargeRefusal(budgets, drain, unit, batch.cost(unit.team) + charged, cost)
         if (reason != null) {
             waits.add(drain, machine.name, reason)
             if (reason is WaitReason.BudgetExhausted) waitingDrainByTeam.putIfAbsent(unit.team, drain.id)
@@ -124,8 +129,8 @@
         return true
     }
 
-    /** Why [unit], which costs [cost], can't be charged after [charged] of the same team; null if it can. */
-    private fun refusal(
+    /** Returns why [unit] can't be charged [cost] after [charged] of the same team; null if it can. */
+    private fun chargeRefusal(
         budgets: DisruptionBudgets,
         drain: DrainRecord,
         unit: DisruptionUnit,
@@ -146,12 +151,12 @@
 
     private companion object {
         /**
-         * Machines in one batch. With one machine a batch, a drain of 500 machines took three times as long as the
-         * budgets allow. How many of them fit one transaction is up to the reconciler.
+         * The maximum number of machines in a batch. With one machine per batch, a drain of 500 machines took three
+         * times as long as the budgets allow. The reconciler shortens batches that exceed one transaction.
          */
-        const val MAX_MACHINES = 8
+        const val MAX_MACHINES_PER_BATCH = 8
 
-        /** Stop requests would not get through to these, or the machine is replaced anyway. */
-        val UNREACHABLE = setOf(MachineHealth.SILENT, MachineHealth.UNSEEN, MachineHealth.FAULTY)
+        /** Stop requests do not reach machines in these states, or the machine is about to be replaced as faulty. */
+        val UNDRAINABLE = setOf(MachineHealth.SILENT, MachineHealth.UNSEEN, MachineHealth.FAULTY)
     }
 }
--- a/src/main/kotlin/flaxfield/drain/EvictionTransaction.kt
+++ b/src/main/kotlin/flaxfield/drain/EvictionTransaction.kt
@@ -8,12 +8,12 @@
 import flaxfield.store.StoreKeys
 import flaxfield.store.Transaction
 
-/** Builds the transaction of one batch of evictions. Pure: the same snapshot gives the same transaction. */
+/** Builds the transaction of one batch of evictions. Pure: depends only on the snapshot and the term. */
 class EvictionTransaction(private val snapshot: FleetSnapshot, private val term: ULong) {
     /**
-     * Stops [units] and charges them to their teams' ledgers. The conditions are the term, the drain's record, the
-     * ledgers of the teams, the loss mark of each controller, the job records and the machines: a charge of another
-     * drain, a loss, or an operator's pause committed in between makes the whole transaction fail.
+     * Returns a transaction that stops [units] and charges them to their teams' ledgers. It is conditional on the term,
+     * the drain, the ledgers, each controller's loss record, the jobs and the machines. The whole transaction thus
+     * fails if another drain's charge, a loss or an operator's pause is committed after the snapshot.
      */
     fun build(drain: DrainRecord, machines: List<Machine>, units: List<DisruptionUnit>): Transaction {
         val conditions = HashMap<String, ULong>()
--- a/src/main/kotlin/flaxfield/drain/FinishedDrainCleaner.kt
+++ b/src/main/kotlin/flaxfield/drain/FinishedDrainCleaner.kt
@@ -6,13 +6,13 @@
 import flaxfield.store.Transaction
 import flaxfield.store.WriteCause
 
-/** Deletes the records of the oldest finished drains; the latest ones are kept for operators to look up. */
+/** Deletes the records of the oldest finished drains. Operators can still look up the latest ones. */
 internal class FinishedDrainCleaner(private val context: ControllerContext) {
-    /** Deletes what [snapshot] holds beyond the records that are kept, as many as one transaction takes. */
+    /** Deletes the records in [snapshot] beyond the limit, as many as one transaction takes. */
     fun deleteOldest(snapshot: FleetSnapshot) {
         val finished = snapshot.drains.values.filter { it.phase.isFinished }
-        if (finished.size <= KEPT_DRAINS) return
-        val excess = minOf(finished.size - KEPT_DRAINS, context.settings.stateLimits.txnOps)
+        if (finished.size <= MAX_FINISHED_DRAINS) return
+        val excess = minOf(finished.size - MAX_FINISHED_DRAINS, context.settings.stateLimits.txnOps)
         val oldest = finished.sortedBy { it.orderedMs }.take(excess)
             .filter { !context.transactions.isWritePending(FleetKeys.DRAIN + it.id) }
         if (oldest.isEmpty()) return
@@ -25,7 +25,7 @@
     }
 
     private companion object {
-        /** Enough to look back on some months of replacements. */
-        const val KEPT_DRAINS = 100
+        /** Covers several months of machine replacements. */
+        const val MAX_FINISHED_DRAINS = 100
     }
 }
--- a/src/main/kotlin/flaxfield/drain/FleetControl.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetControl.kt
@@ -14,19 +14,19 @@
 import flaxfield.zones.FleetZoneRules
 
 /**
- * Everything that a fleet file enables in one controller: snapshots for operators, drains and their orders. The owner
- * thread calls it, but for [reload].
+ * The subsystem that a fleet file enables in a controller: snapshots for operators, drains and operators' orders. All
+ * functions but [reload] must be called on the owner thread.
  */
 class FleetControl(parts: SubsystemParts, @Volatile private var config: FleetConfig) : Subsystem {
     private val context: ControllerContext = parts.context
 
-    /** Publishes the cluster as this controller knows it. */
+    /** Publishes snapshots of this controller's view of the cluster. */
     val publisher = SnapshotPublisher(context.view).also { context.view.observer = it }
 
-    private val orders = DrainOrders(context)
-    private val abandons = AbandonOrders(context)
-    private val drains = DrainReconciler(context)
-    private val restores = RestoreReconciler(context, parts.health)
+    private val drainOrders = DrainOrders(context)
+    private val abandonOrders = AbandonOrders(context)
+    private val drainReconciler = DrainReconciler(context)
+    private val restoreReconciler = RestoreReconciler(context, parts.health)
     private val intervalNs =
         (context.settings.workers.heartbeatIntervalS * INTERVAL_HEARTBEATS * NANOS_PER_SECOND).toLong()
     private var nextRunNs = 0L
@@ -37,21 +37,21 @@
     }
 
     /**
-     * Takes an operator's [order]; [done] is called on the owner thread. Refused until the view is complete: in the
-     * empty view of a controller that has just started, every machine, zone and drain would be unknown.
+     * Records an operator's [order]; [done] is called on the owner thread. Orders are refused until the view is
+     * complete: a controller that has just started knows no machines, zones or drains.
      */
     fun order(order: DrainOrder, done: (OrderResult<DrainRecord>) -> Unit) {
         if (!publisher.complete) return done(VIEW_INCOMPLETE)
-        orders.take(order, publisher.current, done)
+        drainOrders.submit(order, publisher.current, done)
     }
 
-    /** Takes an operator's order to abandon what [jobClass] had in the lost [zone], like [order]. */
+    /** Records an operator's order to abandon the tasks of [jobClass] in the lost [zone]; see [order]. */
     fun abandon(zone: String, jobClass: String, done: (OrderResult<AbandonOrder>) -> Unit) {
         if (!publisher.complete) return done(VIEW_INCOMPLETE)
-        abandons.take(zone, jobClass, publisher.current, done)
+        abandonOrders.take(zone, jobClass, publisher.current, done)
     }
 
-    /** Replaces the fleet file that this controller publishes. Safe from any thread. */
+    /** Replaces the fleet file that this controller publishes. Any thread may call it. */
     fun reload(config: FleetConfig) {
         this.config = config
     }
@@ -64,20 +64,20 @@
         val snapshot = publisher.current
         if (!context.leadership.mayAct()) return
         publishConfig(snapshot)
-        restores.run(snapshot, publisher.jobsWithLosses + jobsInLedgers(snapshot))
-        if (context.leadership.isLeader()) drains.run(snapshot)
+        restoreReconciler.run(snapshot, publisher.jobsWithLosses + jobsInLedgers(snapshot))
+        if (context.leadership.isLeader()) drainReconciler.run(snapshot)
     }
 
     private fun jobsInLedgers(snapshot: FleetSnapshot): List<String> =
         snapshot.ledgers.values.flatMap { ledger -> ledger.entries.keys.map { it.job } }
 
-    /** Publishes this controller's fleet file to the others, where it differs from what is published. */
+    /** Publishes this controller's fleet file if the published one differs. */
     private fun publishConfig(snapshot: FleetSnapshot) {
-        val wanted = config.copy(incarnation = context.self.incarnation)
+        val ownConfig = config.copy(incarnation = context.self.incarnation)
         val key = FleetKeys.CONFIG + context.self.name
-        if (snapshot.configs[context.self.name] == wanted || context.transactions.isWritePending(key)) return
+        if (snapshot.configs[context.self.name] == ownConfig || context.transactions.isWritePending(key)) return
         val term = context.leadership.term() ?: return
-        val changes = listOf(Change.Put(key, DrainCodec.encode(wanted)))
+        val changes = listOf(Change.Put(key, DrainCodec.encode(ownConfig)))
         context.transactions.submit(WriteCause.FLEET, Transaction(mapOf(StoreKeys.ASSIGNMENT to term), changes))
     }
 
@@ -85,16 +85,19 @@
         Change.Put(FleetKeys.LOSS + context.self.name, mapOf("run" to context.self.incarnation, "mark" to ++lossMarks))
 
     /**
-     * The capacity that the tasks on the next machines to be emptied need elsewhere: an evicted task that waits for a
-     * machine to boot would occupy its team's budget for as long.
+     * Returns the capacity that the tasks on the next machines to drain need on other machines. It is provisioned
+     * ahead, since an evicted task that waits for a machine to boot would use its team's budget all the while.
      */
     override fun demands(): List<CapacityDemand> =
         if (publisher.complete) SurgeDemand.of(publisher.current) else emptyList()
 
     private companion object {
-        /** The interval between runs, in heartbeat intervals: heartbeats prove that evicted tasks run again. */
+        /** The interval between runs in heartbeat intervals; heartbeats prove that evicted tasks run again. */
         const val INTERVAL_HEARTBEATS = 0.25
 
-        val VIEW_INCOMPLETE = OrderResult.Refused(OrderFault.UNAVAILABLE, "this node is reading its view")
+        val VIEW_INCOMPLETE = OrderResult.Refused(
+            OrderFault.UNAVAILABLE,
+            "this controller has not yet read the cluster state",
+        )
     }
 }
--- a/src/main/kotlin/flaxfield/drain/FleetKeys.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetKeys.kt
@@ -2,7 +2,7 @@
 
 import flaxfield.store.StoreKeys
 
-/** Prefixes of the keys of fleet records. */
+/** Key prefixes of the fleet records in the state service. */
 object FleetKeys {
     /** Drains, by id. */
     const val DRAIN = StoreKeys.FLEET + "drain/"
@@ -13,9 +13,9 @@
     /** Published fleet files, by controller name. */
     const val CONFIG = StoreKeys.FLEET + "config/"
 
-    /** Loss marks, by controller name. */
+    /** Loss records, by controller name: a controller writes its record with each loss of tasks that it commits. */
     const val LOSS = StoreKeys.FLEET + "loss/"
 
-    /** Orders to abandon what classes had in lost zones, by the order's name. */
+    /** Operators' orders to abandon the tasks of a job class in a lost zone, by the order's name. */
     const val ABANDON = StoreKeys.FLEET + "abandon/"
 }
--- a/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetSnapshot.kt
@@ -11,35 +11,35 @@
 import kotlinx.collections.immutable.persistentHashMapOf
 
 /**
- * The cluster at one revision of the state service. Immutable: any thread may read it, and whatever is computed from
- * it alone is the same on each controller that has reached [revision].
+ * The state of the cluster at one revision of the state service. Immutable, so that any thread may read it. Functions
+ * of a snapshot alone return the same result on each controller that has reached [revision].
  */
 data class FleetSnapshot(
     val revision: ULong = 0uL,
     val assignment: ShardAssignment? = null,
     val jobs: PersistentMap<String, Job> = persistentHashMapOf(),
     val machines: PersistentMap<String, Machine> = persistentHashMapOf(),
-    /** The health of machines, as the shard summaries of their owners under the present term report it. */
+    /** The health of machines, as their owners' shard summaries under the current term report it. */
     val machineStatuses: PersistentMap<String, MachineStatus> = persistentHashMapOf(),
     val machineTypes: Map<String, MachineType> = emptyMap(),
     val drains: PersistentMap<String, DrainRecord> = persistentHashMapOf(),
     val ledgers: PersistentMap<String, Ledger> = persistentHashMapOf(),
     /** The published fleet files, by controller name. */
     val configs: PersistentMap<String, FleetConfig> = persistentHashMapOf(),
-    /** The version of each controller's loss mark, by controller name. */
+    /** The version of each controller's loss record, by controller name. */
     val lossMarks: PersistentMap<String, ULong> = persistentHashMapOf(),
-    /** The state of zones; those that never failed have no record. */
+    /** The state of zones, by name; a zone that has never failed has no record. */
     val zones: Map<String, ZoneRecord> = emptyMap(),
-    /** Operators' orders to abandon what classes had in lost zones, by [AbandonOrder.name]. */
+    /** Operators' orders to abandon the tasks of job classes in lost zones, by [AbandonOrder.name]. */
     val abandons: PersistentMap<String, AbandonOrder> = persistentHashMapOf(),
 ) {
-    /** Names of members of the assignment that run without a fleet file, or have not published it yet. */
+    /** Returns the names of the assignment's members that have no fleet file or have not published it yet. */
     fun membersWithoutConfig(): List<String> = assignment?.members.orEmpty()
         .filter { configs[it.name]?.incarnation != it.incarnation }
         .map { it.name }
         .sorted()
 
-    /** The fleet files of all members combined; null unless each member has published its own. */
+    /** Returns the combined fleet files of all members; null unless each member has published its own. */
     fun policy(): FleetPolicy? {
         val members = assignment?.members.orEmpty()
         if (members.isEmpty() || membersWithoutConfig().isNotEmpty()) return null
--- a/src/main/kotlin/flaxfield/drain/LedgerReleaser.kt
+++ b/src/main/kotlin/flaxfield/drain/LedgerReleaser.kt
@@ -12,11 +12,11 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Releases ledger entries whose task is done or whose job has ended. That a task runs again is proven by the owner of
- * its machine, see [RestoreReconciler]. No entry expires by time.
+ * Releases ledger entries whose task is done, or whose job is cancelled or deleted. [RestoreReconciler] releases the
+ * entries of tasks that run again. Entries never expire.
  */
 class LedgerReleaser(private val context: ControllerContext) {
-    /** Releases the entries that [snapshot] shows to have ended, one transaction a ledger. */
+    /** Releases the entries of tasks that have ended in [snapshot], with one transaction per ledger. */
     fun releaseFinished(snapshot: FleetSnapshot) {
         for (ledger in snapshot.ledgers.values) release(snapshot, ledger)
     }
@@ -25,7 +25,7 @@
         val key = FleetKeys.LEDGER + ledger.team
         if (context.transactions.isWritePending(key)) return
         val ended = ledger.entries.keys.filter { hasEnded(snapshot.jobs[it.job], it.index) }
-        // Each job's version is a condition: what this snapshot shows must hold when the entry is released.
+        // The transaction is conditional on each job's version: the task must still have ended when it commits.
         val jobs = ended.map { it.job }.distinct().take(context.settings.stateLimits.txnOps)
         val released = ended.filter { it.job in jobs }
         if (released.isEmpty()) return
--- a/src/main/kotlin/flaxfield/drain/OrderResult.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderResult.kt
@@ -2,33 +2,33 @@
 
 /** The outcome of an order that writes a record of type [R]. */
 sealed interface OrderResult<out R> {
-    /** The order is recorded, now or by an earlier submission of it. */
+    /** The order is recorded, by this submission or an earlier one. */
     data class Recorded<R>(val record: R, val revision: ULong) : OrderResult<R>
 
-    /** The order was not carried out. */
+    /** The order was refused, or its outcome is unknown. */
     data class Refused(val fault: OrderFault, val message: String) : OrderResult<Nothing>
 
-    /** The same outcome, with the record that [make] returns for the revision. */
+    /** Returns the same outcome, with the record that [make] creates for the revision. */
     fun <T> recordedAs(make: (ULong) -> T): OrderResult<T> = when (this) {
         is Recorded -> Recorded(make(revision), revision)
         is Refused -> this
     }
 }
 
-/** Why an order is refused. */
+/** Why an order is not known to be recorded. */
 enum class OrderFault {
-    /** It names something that does not exist. */
+    /** The order names something that does not exist. */
     NOT_FOUND,
 
-    /** It is invalid in itself. */
+    /** The order itself is invalid. */
     INVALID,
 
-    /** It conflicts with the present state of the drain. */
+    /** The order conflicts with the current state of the drain or the zone. */
     CONFLICT,
 
-    /** It can't be written now, and was not. */
+    /** The order can't be recorded now. The operator may retry it. */
     UNAVAILABLE,
 
-    /** The state service has not answered: the order may be recorded. Repeating it is safe. */
+    /** The state service did not respond, so the order may be recorded. A retry is safe. */
     UNKNOWN,
 }
--- a/src/main/kotlin/flaxfield/drain/OrderWriter.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderWriter.kt
@@ -6,11 +6,12 @@
 import flaxfield.store.TransactionOutcome
 import flaxfield.store.WriteCause
 
-/** Writes the records of operators' orders, or tells at once why that can't be done now. */
+/** Writes the records of operators' orders. */
 class OrderWriter(private val context: ControllerContext) {
     /**
-     * Writes [value] under [key] if that still has [version]; [subject] names it in refusals. [done] runs on the owner
-     * thread.
+     * Writes [value] under [key] if the key still has [version]. Refuses at once if the state service is unreachable,
+     * the key has a pending write or too many writes are pending. [subject] names the record in error messages;
+     * [done] is called on the owner thread.
      */
     fun write(
         subject: String,
@@ -19,24 +20,23 @@
         value: Map<String, Any?>,
         done: (OrderResult<Unit>) -> Unit,
     ) {
-        if (context.storeContact.isSilent(
-                context.settings.workers.leaseS,
-            )
-        ) {
+        if (context.storeContact.isSilent(context.settings.workers.leaseS)) {
             return done(unavailable("the state service does not answer"))
         }
-        if (context.transactions.isWritePending(key)) return done(unavailable("$subject is just being changed"))
+        if (context.transactions.isWritePending(key)) {
+            return done(unavailable("another change of $subject is in progress"))
+        }
         val transaction = Transaction(mapOf(key to version), listOf(Change.Put(key, value)))
         val sent = context.transactions.submit(WriteCause.FLEET, transaction) { outcome ->
             done(result(subject, outcome))
         }
-        if (!sent) done(unavailable("too many changes at once"))
+        if (!sent) done(unavailable("too many writes are pending"))
     }
 
     private fun result(subject: String, outcome: TransactionOutcome): OrderResult<Unit> = when (outcome) {
         is TransactionOutcome.Committed -> OrderResult.Recorded(Unit, outcome.revision)
-        is TransactionOutcome.Conflict -> unavailable("$subject has just changed")
-        is TransactionOutcome.Refused -> unavailable("the state service refuses changes")
+        is TransactionOutcome.Conflict -> unavailable("$subject was changed concurrently")
+        is TransactionOutcome.Refused -> unavailable("the state service rejected the write")
         is TransactionOutcome.Unknown -> OrderResult.Refused(OrderFault.UNKNOWN, "the state service does not answer")
     }
 
--- a/src/main/kotlin/flaxfield/drain/RepeatPolicy.kt
+++ b/src/main/kotlin/flaxfield/drain/RepeatPolicy.kt
@@ -2,18 +2,21 @@
 
 import flaxfield.jobs.JobSpec
 
-/** Whether running tasks of a class may be stopped and restarted, from the strictest policy to the most lenient. */
+/**
+ * Whether running tasks of a job class may be stopped and restarted. The constants are ordered from the strictest, since
+ * [FleetPolicy] applies the strictest policy where fleet files differ.
+ */
 enum class RepeatPolicy {
-    /** A running task is left to end by itself. */
+    /** Running tasks are never evicted: they run to completion. */
     NEVER,
 
-    /** Only tasks that write checkpoints may be stopped. */
+    /** Only tasks that write checkpoints may be evicted. */
     CHECKPOINTED,
 
-    /** Any task may be stopped. */
+    /** Any task may be evicted. */
     ANY,
     ;
 
-    /** Whether a drain may stop tasks of [spec]. */
+    /** Returns whether a drain may evict tasks of [spec]. */
     fun allows(spec: JobSpec): Boolean = this == ANY || this == CHECKPOINTED && spec.checkpointIntervalS > 0.0
 }
--- a/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
@@ -13,12 +13,12 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Records that lost or drained tasks run again. The owner of a machine's shard runs it on the owner thread: a heartbeat
- * under the present term, in the incarnation of the record, that shows the task's newer attempt as running is the
- * proof. One transaction takes the task off the job's losses and off its team's ledger.
+ * Records that lost or evicted tasks run again. Each controller runs it on the owner thread, for the machines of its
+ * shards. The proof is a heartbeat with the current term and the recorded incarnation that reports the task's new
+ * attempt as running. One transaction removes the task from the job's lost tasks and from its team's ledger.
  */
 class RestoreReconciler(private val context: ControllerContext, private val health: WorkerHealth) {
-    /** Looks at the jobs called [candidates] in [snapshot]. */
+    /** Restores the tasks that are proven to run again, for the jobs in [snapshot] with the ids [candidates]. */
     fun run(snapshot: FleetSnapshot, candidates: Collection<String>) {
         val term = context.leadership.term() ?: return
         if (!context.leadership.mayAct()) return
@@ -32,11 +32,11 @@
 
     private fun restore(job: Job, ledger: Ledger?, term: ULong) {
         val running = job.allPlaced().filter { isProven(job, it, ledger, term) }.map { it.index }.toList()
-        val tasks = inOneTransaction(job, running)
+        val tasks = limitToOneTransaction(job, running)
         if (tasks.isEmpty()) return
         val write = JobTransactions.update(job, job.restore(tasks), term)
         val released = tasks.map { TaskId(job.id, it) }.filter { ledger != null && it in ledger.entries }
-        val transaction = if (ledger == null || released.isEmpty()) write else write.alsoReleasing(ledger, released)
+        val transaction = if (ledger == null || released.isEmpty()) write else write.withLedgerRelease(ledger, released)
         if (transaction.changes.any { context.transactions.isWritePending(it.key) }) return
         context.transactions.submit(WriteCause.PROOF, transaction) { outcome ->
             if (outcome is TransactionOutcome.Committed) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Whether the task of [placement] counts as unavailable, and is proven to run again. */
+    /** Returns whether the task of [placement] counts as unavailable and is proven to run again. */
     private fun isProven(job: Job, placement: Placement, ledger: Ledger?, term: ULong): Boolean {
         val disruption = ledger?.entries?.get(TaskId(job.id, placement.index))
         val isUnavailable =
@@ -55,14 +55,14 @@
             RunningTaskProof.isGivenBy(health.known(placement.machineName)?.heartbeat, job.id, placement, term)
     }
 
-    /** Those of [tasks] whose chunks fit one transaction; the others follow in later runs. */
-    private fun inOneTransaction(job: Job, tasks: List<Int>): List<Int> {
+    /** Returns the [tasks] whose chunks fit one transaction; the others follow in later runs. */
+    private fun limitToOneTransaction(job: Job, tasks: List<Int>): List<Int> {
         val maxChunks = JobTransactions.maxChunks(context.settings.stateLimits)
         val chunks = tasks.map { it / job.chunkTasks }.distinct().take(maxChunks)
         return tasks.filter { it / job.chunkTasks in chunks }
     }
 
-    private fun Transaction.alsoReleasing(ledger: Ledger, released: List<TaskId>): Transaction {
+    private fun Transaction.withLedgerRelease(ledger: Ledger, released: List<TaskId>): Transaction {
         val key = FleetKeys.LEDGER + ledger.team
         val remaining = ledger.copy(entries = ledger.entries - released.toSet())
         val put = Change.Put(key, DrainCodec.encode(remaining))
--- a/src/main/kotlin/flaxfield/drain/RunningTaskProof.kt
+++ b/src/main/kotlin/flaxfield/drain/RunningTaskProof.kt
@@ -4,9 +4,9 @@
 import flaxfield.workers.Heartbeat
 import flaxfield.workers.TaskState
 
-/** Pure: whether a heartbeat proves that a task runs where its record says. */
+/** Decides whether a heartbeat proves that a task runs on the machine recorded in its placement. Pure. */
 internal object RunningTaskProof {
-    /** Whether [heartbeat], sent under [term], shows the attempt of [placement] of [job] as running. */
+    /** Returns whether [heartbeat] was sent under [term] and reports the attempt of [placement] of [job] as running. */
     fun isGivenBy(heartbeat: Heartbeat?, job: String, placement: Placement, term: ULong): Boolean = heartbeat != null &&
         heartbeat.machineName == placement.machineName &&
         heartbeat.fencingToken == term &&
--- a/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
+++ b/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Follows the view and publishes a [FleetSnapshot] of each revision that it reaches; only what has changed is replaced.
- * The owner thread writes; any thread may read [current].
+ * Observes the view and publishes a [FleetSnapshot] at each revision that the view reaches. It replaces only what has
+ * changed. The owner thread writes; any thread may read [current].
  */
 class SnapshotPublisher(private val view: ClusterView) : ViewObserver {
     /** The latest snapshot of a complete view. */
@@ -21,17 +21,17 @@
     var current = FleetSnapshot()
         private set
 
-    /** False from the moment when the view is cleared, to be read anew, until it is complete again. */
+    /** Whether the view is complete: false while it is being listed, initially or again after it was cleared. */
     var complete = false
         private set
 
-    /** The snapshot under construction: fleet records are applied as they arrive, the rest by [publish]. */
+    /** The snapshot under construction: [changed] applies fleet records to it, [publish] applies the rest. */
     private var next = FleetSnapshot()
     private val changedJobs = HashSet<String>()
     private val changedMachines = HashSet<String>()
     private var statusesChanged = false
 
-    /** Ids of jobs with lost tasks that are not yet proven to run again. */
+    /** The ids of the jobs with lost tasks that are not yet proven to run again. */
     val jobsWithLosses = HashSet<String>()
 
     override fun changed(item: KeyUpdate) {
@@ -55,9 +55,9 @@
         statusesChanged = true
     }
 
-    /** Publishes the view, which is complete at its present revision. */
+    /** Publishes a snapshot of the view, which must be complete at its revision. */
     fun publish() {
-        // A change of summaries or owners may change the status of any machine.
+        // A change of the shard summaries or of the assignment may change the status of any machine.
         val machineNames = if (statusesChanged) changedMachines + next.machines.keys else changedMachines
         next = next.copy(
             revision = view.revision,
@@ -82,7 +82,7 @@
             jobs = jobs.set(id, job)
             val hasLosses = job != null && job.chunks.values.any { it.interrupted.isNotEmpty() }
             if (hasLosses) jobsWithLosses += id else jobsWithLosses -= id
-            // Lazy values are computed here, on the owner thread: they are not safe to compute on reading threads.
+            // Computes lazy values on the owner thread, since their initialization is not thread-safe.
             job?.run { doneCount + placedCount }
         }
         return jobs
@@ -104,7 +104,7 @@
         try {
             next = withFleetRecord(item)
         } catch (fault: RuntimeException) {
-            // A record that can't be decoded must not stop the view: the snapshot goes on without the change.
+            // An undecodable record must not stall the view: the snapshot skips the change.
             log.error(
                 "event=record_unreadable key={} version={} reason=\"{}\"",
                 item.key,
--- a/src/main/kotlin/flaxfield/drain/SurgeDemand.kt
+++ b/src/main/kotlin/flaxfield/drain/SurgeDemand.kt
@@ -3,9 +3,9 @@
 import flaxfield.fleet.CapacityDemand
 import flaxfield.jobs.Job
 
-/** Pure: the capacity to scale out ahead of evictions, so that evicted tasks find machines that are up. */
+/** Computes the capacity to provision ahead of evictions, so that evicted tasks need not wait for a boot. Pure. */
 object SurgeDemand {
-    /** The demand of the tasks on the next machines to be emptied, as many machines as all fleet files allow. */
+    /** Returns the demand of the tasks on the next machines to drain, at most [FleetPolicy.surgeMachines] of them. */
     fun of(snapshot: FleetSnapshot): List<CapacityDemand> {
         val policy = snapshot.policy() ?: return emptyList()
         val machines = nextMachines(snapshot, policy.surgeMachines)
@@ -16,7 +16,7 @@
             .mapNotNull { demand(it, machines) }
     }
 
-    /** The first [limit] machines, by name, that active drains have cordoned. */
+    /** Returns the names of the first [limit] machines, by name, that active drains have cordoned. */
     private fun nextMachines(snapshot: FleetSnapshot, limit: Int): Set<String> {
         val active = snapshot.drains.values.filter { it.phase == DrainPhase.ACTIVE }.mapTo(HashSet()) { it.id }
         if (active.isEmpty()) return emptySet()
@@ -27,12 +27,12 @@
             .mapTo(HashSet()) { it.name }
     }
 
-    /** What is never evicted needs no capacity elsewhere. */
+    /** Returns whether a drain may ever evict tasks of [job]; other jobs need no capacity on other machines. */
     private fun isEvictable(job: Job, policy: FleetPolicy, availability: Availability): Boolean {
-        val unit = Capacity.of(job.spec) * (if (job.isGang) job.spec.taskCount else 1)
+        val unitCapacity = Capacity.of(job.spec) * (if (job.isGang) job.spec.taskCount else 1)
         return !job.cancelled &&
             policy.repeat(job.spec.jobClass).allows(job.spec) &&
-            availability.of(job.spec.team).everPermits(unit)
+            availability.of(job.spec.team).fitsWholeBudget(unitCapacity)
     }
 
     private fun demand(job: Job, machines: Set<String>): CapacityDemand? {
--- a/src/main/kotlin/flaxfield/drain/WaitReason.kt
+++ b/src/main/kotlin/flaxfield/drain/WaitReason.kt
@@ -2,19 +2,19 @@
 
 import flaxfield.arrays.MachineHealth
 
-/** Why a machine that is being drained is not emptied further at this revision. */
+/** Why a drain does not proceed on a machine at this revision. */
 sealed interface WaitReason {
-    /** The controllers in [members] run without a fleet file, or have not published it yet. */
+    /** The controllers [members] have no fleet file, or have not published it yet. */
     data class WithoutConfig(val members: List<String>) : WaitReason
 
-    /** The class of [job] forbids restarts: its tasks are left to end by themselves. */
+    /** The class of [job] forbids restarts, so that its tasks must run to completion. */
     data class RestartForbidden(val job: String, val jobClass: String, val policy: RepeatPolicy) : WaitReason
 
-    /** The gang, or the single task, is larger than its team's whole budget. */
+    /** A gang or a single task exceeds its team's whole budget. */
     data class LargerThanBudget(val job: String, val team: String, val cost: Capacity, val allowed: Capacity) :
         WaitReason
 
-    /** The next eviction, which costs [cost], would exceed the team's budget. */
+    /** The next eviction, at [cost], would exceed the team's remaining budget. */
     data class BudgetExhausted(
         val team: String,
         val cost: Capacity,
@@ -25,23 +25,23 @@
     /** An older drain waits for the budget of [team]. */
     data class OlderDrainFirst(val drain: String, val team: String) : WaitReason
 
-    /** This many tasks have been told to stop and are still on the machine. */
+    /** All tasks that are left on the machine, [tasks] in number, are stopping. */
     data class Stopping(val tasks: Int) : WaitReason
 
-    /** The gang is already being stopped or started as a whole. */
+    /** The gang of [job] is being stopped, or is not fully placed. */
     data class GangInTransition(val job: String) : WaitReason
 
-    /** The machine's worker does not report, or the machine is to be replaced as faulty. */
+    /** The machine's worker does not send heartbeats, or the machine is about to be replaced as faulty. */
     data class NotReporting(val state: MachineHealth) : WaitReason
 
-    /** The team's ledger holds as many tasks as one value of the state service takes. */
+    /** The team's ledger has reached the size limit of one value of the state service. */
     data class LedgerFull(val team: String, val entries: Int) : WaitReason
 
-    /** As many machines are cordoned as the fleet files allow at once. */
+    /** Drains have cordoned [limit] machines, as many as the fleet files allow at once. */
     data class CordonLimitReached(val limit: Int) : WaitReason
 }
 
-/** The reasons found while one plan is made: by drain, then by machine. The first reason of a machine stands. */
+/** Collects the wait reasons of one plan, by drain and machine. Only the first reason of a machine is kept. */
 internal class WaitReasons {
     private val byDrain = LinkedHashMap<String, LinkedHashMap<String, WaitReason>>()
 
