--- a/src/test/kotlin/flaxfield/drain/CapacityChecker.kt
+++ b/src/test/kotlin/flaxfield/drain/CapacityChecker.kt
@@ -4,78 +4,78 @@
 import flaxfield.sim.TaskWatcher
 
 /**
- * Counts what teams really lack on the workers, apart from all records: tasks that once ran, have not completed and do
- * not run now. Where nothing but drains stops tasks, no team may ever lack more than its budget. Where other things do,
- * that holds for what drains alone have taken: tasks that were told to stop with time to save a checkpoint, and do not
- * run again yet.
+ * Counts the unavailable capacity of each team on the workers, independently of all records: tasks that have run, are
+ * not done and do not run now. If only drains stop tasks, a team's unavailable capacity must never exceed its budget.
+ * Under other faults, the budget must cover the evicted tasks alone. A task counts as evicted if it was stopped with a
+ * grace period for a checkpoint and does not run again yet.
  */
 class CapacityChecker(
     private val now: () -> Double,
     private val budgets: Map<String, Amount>,
-    private val cancelled: (String) -> Boolean,
+    private val isCancelled: (String) -> Boolean,
 ) : TaskWatcher {
-    private val lacking = HashMap<String, JobSpec>()
-    private val planned = HashSet<String>()
+    private val unavailable = HashMap<String, JobSpec>()
+    private val evicted = HashSet<String>()
     private val running = HashSet<String>()
 
-    /** Moments at which a team lacked more than its budget, for whatever reason. */
+    /** The times at which a team's unavailable capacity exceeded its budget, for any reason. */
     val violations = ArrayList<String>()
 
-    /** The same of what drains had taken. */
-    val overcharged = ArrayList<String>()
+    /** The times at which a team's evicted capacity alone exceeded its budget. */
+    val evictionViolations = ArrayList<String>()
 
-    /** The most that each team ever lacked. */
-    val most = HashMap<String, Amount>()
+    /** The maximum unavailable capacity of each team. */
+    val maxUnavailable = HashMap<String, Amount>()
 
-    /** How many tasks were told to stop, by job. */
-    val halts = HashMap<String, Int>()
+    /** The number of stop requests for tasks, by job. */
+    val stopRequests = HashMap<String, Int>()
 
-    /** Told of each task that is being stopped. */
-    var onHalt: () -> Unit = {}
+    /** Called for each stop request to a task. */
+    var onStopRequest: () -> Unit = {}
 
     override fun runs(spec: JobSpec, index: Int) {
         running += name(spec, index)
-        available(spec, index)
+        markAvailable(spec, index)
     }
 
     override fun halted(spec: JobSpec, index: Int, gracePeriodS: Double) {
-        if (!cancelled(spec.id)) halts.merge(spec.id, 1, Int::plus)
-        // A gang that has lost a member is stopped by others than drains.
-        val lackingMembers = lacking.filterValues { it.id == spec.id }.keys
-        val isPlanned = gracePeriodS > 0.0 && name(spec, index) in running && lackingMembers.all { it in planned }
-        if (isPlanned) planned += name(spec, index)
-        unavailable(spec, index)
-        onHalt()
+        if (!isCancelled(spec.id)) stopRequests.merge(spec.id, 1, Int::plus)
+        // A gang that has lost a member is stopped for that, not by a drain.
+        val unavailableMembers = unavailable.filterValues { it.id == spec.id }.keys
+        val isEvicted = gracePeriodS > 0.0 && name(spec, index) in running && unavailableMembers.all { it in evicted }
+        if (isEvicted) evicted += name(spec, index)
+        markUnavailable(spec, index)
+        onStopRequest()
     }
 
-    override fun left(spec: JobSpec, index: Int) = unavailable(spec, index)
+    override fun left(spec: JobSpec, index: Int) = markUnavailable(spec, index)
 
     override fun done(spec: JobSpec, index: Int) {
         running -= name(spec, index)
-        available(spec, index)
+        markAvailable(spec, index)
     }
 
-    private fun available(spec: JobSpec, index: Int) {
-        lacking.remove(name(spec, index))
-        planned -= name(spec, index)
+    private fun markAvailable(spec: JobSpec, index: Int) {
+        unavailable.remove(name(spec, index))
+        evicted -= name(spec, index)
     }
 
-    private fun unavailable(spec: JobSpec, index: Int) {
-        if (!running.remove(name(spec, index)) || cancelled(spec.id)) return
-        lacking[name(spec, index)] = spec
+    private fun markUnavailable(spec: JobSpec, index: Int) {
+        if (!running.remove(name(spec, index)) || isCancelled(spec.id)) return
+        unavailable[name(spec, index)] = spec
         recount(spec.team)
     }
 
     private fun recount(team: String) {
-        val all = lacking.filterValues { it.team == team && !cancelled(it.id) }
-        val sum = sum(all.values)
-        val before = most[team] ?: Amount.NONE
-        most[team] = Amount(maxOf(before.cpus, sum.cpus), maxOf(before.gpus, sum.gpus))
+        val ofTeam = unavailable.filterValues { it.team == team && !isCancelled(it.id) }
+        val sum = sum(ofTeam.values)
+        val previousMax = maxUnavailable[team] ?: Amount.NONE
+        maxUnavailable[team] = Amount(maxOf(previousMax.cpus, sum.cpus), maxOf(previousMax.gpus, sum.gpus))
         val allowed = budgets[team] ?: return
-        if (sum.above(allowed)) violations += "${now()}: $team lacks $sum of $allowed: ${all.keys}"
-        val taken = all.filterKeys { it in planned }
-        if (sum(taken.values).above(allowed)) {
-            overcharged += "${now()}: drains took ${sum(taken.values)} of $allowed from $team: ${taken.keys}"
+        if (sum.exceeds(allowed)) violations += "${now()}: $team has $sum unavailable, allowed $allowed: ${ofTeam.keys}"
+        val evictedOfTeam = ofTeam.filterKeys { it in evicted }
+        if (sum(evictedOfTeam.values).exceeds(allowed)) {
+            evictionViolations += "${now()}: drains evicted ${sum(evictedOfTeam.values)} of $team, allowed $allowed: ${evictedOfTeam.keys}"
         }
     }
 
--- a/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
@@ -17,16 +17,16 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Tables of single decisions; each task takes 4 CPUs and 1 accelerator. */
+/** Checks the decisions of [DrainPlanner] on single snapshots. Each task takes 4 CPUs and 1 accelerator. */
 class DrainPlannerTest {
     private val member = Member("n-0", "run", "a")
-    private val any = Selector(emptySet(), "big", null, null, null)
+    private val anyMachine = Selector(emptySet(), "big", null, null, null)
 
     private fun config(budgets: Map<String, BudgetLimit>) = FleetConfig(
         "run",
         budgets,
         BudgetLimit.Absolute(capacity(2)),
-        mapOf("deed" to RepeatPolicy.NEVER),
+        mapOf("once" to RepeatPolicy.NEVER),
         RepeatPolicy.CHECKPOINTED,
         0,
         100,
@@ -37,7 +37,7 @@
     private fun absolute(tasks: Int) = BudgetLimit.Absolute(capacity(tasks))
 
     private fun drain(id: String, orderedMs: Long = 10, phase: DrainPhase = DrainPhase.ACTIVE, target: Int? = 9, cordoned: Int = 9) =
-        DrainRecord(id, any, orderedMs, phase, target, cordoned, "", 1uL)
+        DrainRecord(id, anyMachine, orderedMs, phase, target, cordoned, "", 1uL)
 
     private fun machine(name: String, cordon: String? = "d-1") = Samples.machine(name).copy(cordon = cordon)
 
@@ -47,7 +47,7 @@
         drains: List<DrainRecord> = listOf(drain("d-1")),
         budgets: Map<String, BudgetLimit> = emptyMap(),
         ledgers: List<Ledger> = emptyList(),
-        silent: Set<String> = emptySet(),
+        unreachable: Set<String> = emptySet(),
     ) = FleetSnapshot(
         revision = 9uL,
         assignment = ShardAssignment(member, listOf(member), 5uL),
@@ -55,26 +55,26 @@
         machines = machines.associateBy { it.name }.toPersistentHashMap(),
         machineStatuses = machines.associate {
             it.name to
-                MachineStatus(if (it.name in silent) MachineHealth.SILENT else MachineHealth.OK, 1uL, "", emptyList())
+                MachineStatus(if (it.name in unreachable) MachineHealth.SILENT else MachineHealth.OK, 1uL, "", emptyList())
         }.toPersistentHashMap(),
         drains = drains.associateBy { it.id }.toPersistentHashMap(),
         ledgers = ledgers.associateBy { it.team }.toPersistentHashMap(),
         configs = persistentHashMapOf("n-0" to config(budgets)),
     )
 
-    private fun array(id: String, team: String, vararg where: Pair<Int, String>, jobClass: String = "class") =
-        Samples.job(Samples.spec(id = id, team = team, taskCount = 8, jobClass = jobClass)).on(*where)
+    private fun array(id: String, team: String, vararg placements: Pair<Int, String>, jobClass: String = "class") =
+        Samples.job(Samples.spec(id = id, team = team, taskCount = 8, jobClass = jobClass)).on(*placements)
 
-    private fun steps(s: FleetSnapshot) = DrainPlanner(s).plan().actions.filterIsInstance<DrainAction.Evict>()
-        .map { step ->
-            step.machines.joinToString(" ") { it.name } to
-                step.units.flatMap { u -> u.tasks.map { "${u.job.id}/$it" } }
+    private fun evictions(s: FleetSnapshot) = DrainPlanner(s).plan().actions.filterIsInstance<DrainAction.Evict>()
+        .map { eviction ->
+            eviction.machines.joinToString(" ") { it.name } to
+                eviction.units.flatMap { unit -> unit.tasks.map { "${unit.job.id}/$it" } }
         }
 
     private fun waits(s: FleetSnapshot, drain: String = "d-1") = DrainPlanner(s).plan().waits[drain].orEmpty()
 
     @Test
-    fun `machines that take the least of their teams' budgets go first, as many as the budgets hold`() {
+    fun `evicts from the machines that use least of their teams' budgets first, until the budgets are exhausted`() {
         val jobs = listOf(
             array("job-1", "red", 0 to "h-1", 1 to "h-1", 2 to "h-2"),
             array(
@@ -85,17 +85,17 @@
             ),
         )
         val machines = listOf(machine("h-1"), machine("h-2"), machine("h-3"))
-        // One of red, both of blue, and what is left of red's budget of two: a part of the last machine.
-        val all = listOf("h-2 h-3 h-1" to listOf("job-1/2", "job-2/0", "job-2/1", "job-1/0"))
-        assertEquals(all, steps(snapshot(jobs, machines)))
-        // A team with a large budget gives more than one with a small one.
+        // One task of red, both of blue, then part of the last machine, as red's budget of two tasks allows one more.
+        val redFirst = listOf("h-2 h-3 h-1" to listOf("job-1/2", "job-2/0", "job-2/1", "job-1/0"))
+        assertEquals(redFirst, evictions(snapshot(jobs, machines)))
+        // With a larger budget, blue uses the smaller fraction of its budget and goes first.
         val large = mapOf("blue" to absolute(40))
         val blueFirst = listOf("h-3 h-2 h-1" to listOf("job-2/0", "job-2/1", "job-1/2", "job-1/0"))
-        assertEquals(blueFirst, steps(snapshot(jobs, machines, budgets = large)))
+        assertEquals(blueFirst, evictions(snapshot(jobs, machines, budgets = large)))
     }
 
     @Test
-    fun `where no machine can be emptied at once the one nearest to it is emptied in part`() {
+    fun `evicts part of the machine with the fewest remaining tasks if no machine can be emptied`() {
         val jobs = listOf(
             array("job-1", "red", 0 to "h-1", 1 to "h-1", 2 to "h-1"),
             array(
@@ -109,21 +109,21 @@
         )
         assertEquals(
             listOf("h-1" to listOf("job-1/0", "job-1/1")),
-            steps(snapshot(jobs, listOf(machine("h-1"), machine("h-2")))),
+            evictions(snapshot(jobs, listOf(machine("h-1"), machine("h-2")))),
         )
     }
 
     @Test
-    fun `what is lost, stopped, silent or charged counts against the budget`() {
+    fun `counts lost, stopping, unreachable and evicted tasks against the budget`() {
         val machines = listOf(machine("h-1"), machine("h-2", null))
         val job = array("job-1", "red", 0 to "h-1")
         val other = array("job-2", "red", 0 to "h-2", 1 to "h-2")
         val cases = mapOf(
-            "nothing" to snapshot(listOf(job, other), machines),
+            "none unavailable" to snapshot(listOf(job, other), machines),
             "lost" to snapshot(listOf(job, other.free(listOf(0, 1)).interrupt(listOf(0, 1))), machines),
             "stopping" to snapshot(listOf(job, other.stop(listOf(0, 1))), machines),
-            "silent" to snapshot(listOf(job, other), machines, silent = setOf("h-2")),
-            "charged" to snapshot(
+            "unreachable" to snapshot(listOf(job, other), machines, unreachable = setOf("h-2")),
+            "evicted" to snapshot(
                 listOf(job, other),
                 machines,
                 ledgers = listOf(
@@ -137,37 +137,37 @@
                 ),
             ),
         )
-        for ((what, s) in cases) assertEquals(if (what == "nothing") 1 else 0, steps(s).size, what)
+        for ((name, s) in cases) assertEquals(if (name == "none unavailable") 1 else 0, evictions(s).size, name)
         assertTrue(waits(cases.getValue("lost")).getValue("h-1") is WaitReason.BudgetExhausted)
     }
 
     @Test
-    fun `a loss that its user has given up, or that fails everywhere, is nobody's`() {
+    fun `does not count lost tasks of cancelled or crash-looping jobs against the budget`() {
         val machines = listOf(machine("h-1"), machine("h-2", null))
         val job = array("job-1", "red", 0 to "h-1")
         val lost = array("job-2", "red", 0 to "h-2", 1 to "h-2").free(listOf(0, 1)).interrupt(listOf(0, 1))
-        assertEquals(1, steps(snapshot(listOf(job, lost.copy(cancelledMs = 1)), machines)).size)
+        assertEquals(1, evictions(snapshot(listOf(job, lost.copy(cancelledMs = 1)), machines)).size)
         assertEquals(
             1,
-            steps(snapshot(listOf(job, lost.copy(failureCount = 4, failedMachines = listOf("x", "y"))), machines)).size,
+            evictions(snapshot(listOf(job, lost.copy(failureCount = 4, failedMachines = listOf("x", "y"))), machines)).size,
         )
     }
 
     @Test
-    fun `a percentage is never rounded up`() {
+    fun `never rounds a percentage budget up`() {
         val jobs = listOf(array("job-1", "red", *(0..7).map { it to "h-$it" }.toTypedArray()))
         val machines = (0..7).map { machine("h-$it") }
-        // Of 8 tasks: 12 % is less than one, 13 % is one, 30 % is two.
+        // 12 % of 8 tasks is less than one task, 13 % is one and 30 % is two.
         for ((percent, size) in mapOf(12.0 to 0, 13.0 to 1, 30.0 to 1)) {
             val s = snapshot(jobs, machines, budgets = mapOf("red" to BudgetLimit.Percent(percent)))
-            assertEquals(size, steps(s).size, "$percent")
+            assertEquals(size, evictions(s).size, "$percent")
         }
         val small = snapshot(jobs, machines, budgets = mapOf("red" to BudgetLimit.Percent(12.0)))
         assertTrue(waits(small).values.all { it is WaitReason.LargerThanBudget })
     }
 
     @Test
-    fun `an older drain that waits for a budget is not starved by a younger one`() {
+    fun `does not let a younger drain use the budget that an older drain waits for`() {
         val gang = Samples.job(Samples.spec(id = "job-1", team = "red", jobKind = JobKind.GANG, taskCount = 2)).on(
             0 to "h-1",
             1 to "h-1",
@@ -176,80 +176,80 @@
         val jobs = listOf(gang, array("job-3", "red", 0 to "h-2"), lost)
         val machines = listOf(machine("h-1", "d-1"), machine("h-2", "d-2"))
         val drains = listOf(drain("d-1", orderedMs = 10), drain("d-2", orderedMs = 20))
-        // One of two may be spent: enough for the younger drain's task, not for the older one's gang.
+        // The budget of two tasks has one left: enough for the younger drain's task, but not for the older drain's gang.
         val s = snapshot(jobs, machines, drains)
-        assertEquals(emptyList<Any>(), steps(s))
+        assertEquals(emptyList<Any>(), evictions(s))
         assertEquals(WaitReason.OlderDrainFirst("d-1", "red"), waits(s, "d-2").getValue("h-2"))
-        assertEquals(1, steps(snapshot(jobs, machines, drains.map { it.copy(orderedMs = 30 - it.orderedMs) })).size)
-        // Another team's budget is no business of the older drain.
+        assertEquals(1, evictions(snapshot(jobs, machines, drains.map { it.copy(orderedMs = 30 - it.orderedMs) })).size)
+        // A drain that waits for red's budget does not block evictions of blue.
         val blue = snapshot(listOf(gang, lost, array("job-4", "blue", 0 to "h-2")), machines, drains)
-        assertEquals(listOf("h-2" to listOf("job-4/0")), steps(blue))
+        assertEquals(listOf("h-2" to listOf("job-4/0")), evictions(blue))
     }
 
     @Test
-    fun `what may not be stopped keeps its whole machine`() {
-        val deed = array("job-1", "red", 0 to "h-1", jobClass = "deed")
-        val unsaved = array("job-2", "red", 0 to "h-2").let { it.copy(spec = it.spec.copy(checkpointIntervalS = 0.0)) }
+    fun `evicts nothing from a machine with a task that must not be evicted`() {
+        val nonRestartable = array("job-1", "red", 0 to "h-1", jobClass = "once")
+        val uncheckpointed = array("job-2", "red", 0 to "h-2").let { it.copy(spec = it.spec.copy(checkpointIntervalS = 0.0)) }
         val large = Samples.job(Samples.spec(id = "job-3", team = "red", jobKind = JobKind.GANG, taskCount = 3)).on(
             0 to "h-3",
             1 to "h-3",
             2 to "h-3",
         )
         val other = array("job-4", "blue", 0 to "h-1", 1 to "h-2", 2 to "h-3")
-        val s = snapshot(listOf(deed, unsaved, large, other), listOf(machine("h-1"), machine("h-2"), machine("h-3")))
-        assertEquals(emptyList<Any>(), steps(s))
-        assertEquals(WaitReason.RestartForbidden("job-1", "deed", RepeatPolicy.NEVER), waits(s).getValue("h-1"))
+        val s = snapshot(listOf(nonRestartable, uncheckpointed, large, other), listOf(machine("h-1"), machine("h-2"), machine("h-3")))
+        assertEquals(emptyList<Any>(), evictions(s))
+        assertEquals(WaitReason.RestartForbidden("job-1", "once", RepeatPolicy.NEVER), waits(s).getValue("h-1"))
         assertEquals(WaitReason.RestartForbidden("job-2", "class", RepeatPolicy.CHECKPOINTED), waits(s).getValue("h-2"))
         assertEquals(WaitReason.LargerThanBudget("job-3", "red", capacity(3), capacity(2)), waits(s).getValue("h-3"))
     }
 
     @Test
-    fun `machines are counted, kept from new work, returned empty, and given back`() {
+    fun `counts, cordons, retires and uncordons machines`() {
         val machines = listOf(machine("h-1", null), machine("h-2", null), machine("h-3", null).copy(sinceMs = 50))
         fun actions(d: DrainRecord, m: List<Machine> = machines) = DrainPlanner(snapshot(emptyList(), m, listOf(d))).plan().actions
-        // A machine that came after the order is not meant.
+        // A machine that was rented after the order does not match.
         assertEquals(2, (actions(drain("d-1", target = null, cordoned = 0)).single() as DrainAction.SetTarget).target)
-        val half = drain("d-1", target = null, cordoned = 0).copy(selector = any.copy(percent = 50.0))
+        val half = drain("d-1", target = null, cordoned = 0).copy(selector = anyMachine.copy(percent = 50.0))
         assertEquals(1, (actions(half).single() as DrainAction.SetTarget).target)
         val cordon = actions(drain("d-1", target = 1, cordoned = 0)).single() as DrainAction.Cordon
         assertEquals(listOf("h-1"), cordon.machines.map { it.name })
-        val held = listOf(machine("h-1"), machine("h-2"))
+        val cordoned = listOf(machine("h-1"), machine("h-2"))
         assertEquals(
             2,
-            (actions(drain("d-1", target = 2, cordoned = 2), held).single() as DrainAction.Retire).machines.size,
+            (actions(drain("d-1", target = 2, cordoned = 2), cordoned).single() as DrainAction.Retire).machines.size,
         )
-        val retiring = held.map { it.copy(phase = MachinePhase.RETIRING) }
+        val retiring = cordoned.map { it.copy(phase = MachinePhase.RETIRING) }
         assertEquals(emptyList<Any>(), actions(drain("d-1", target = 2, cordoned = 2), retiring))
         assertEquals(
             DrainPhase.DONE,
             (actions(drain("d-1", target = 2, cordoned = 2), emptyList()).single() as DrainAction.Finish).phase,
         )
         val cancelled = drain("d-1", phase = DrainPhase.CANCELLING)
-        assertEquals(2, (actions(cancelled, held).single() as DrainAction.Uncordon).machines.size)
+        assertEquals(2, (actions(cancelled, cordoned).single() as DrainAction.Uncordon).machines.size)
         assertEquals(DrainPhase.CANCELLED, (actions(cancelled, retiring).single() as DrainAction.Finish).phase)
     }
 
     @Test
-    fun `nothing is stopped before all machines of a drain are kept from new work`() {
+    fun `evicts nothing until all machines of the drain are cordoned`() {
         val job = array("job-1", "red", 0 to "h-1")
         val machines = listOf(machine("h-1"), machine("h-2", null))
         val half = snapshot(listOf(job), machines, listOf(drain("d-1", target = 2, cordoned = 1)))
-        assertEquals(emptyList<Any>(), steps(half))
+        assertEquals(emptyList<Any>(), evictions(half))
         assertEquals(1, DrainPlanner(half).plan().actions.filterIsInstance<DrainAction.Cordon>().size)
-        // One of those counted has died meanwhile: there is none to wait for.
+        // One of the counted machines has been lost since: the drain does not wait for it.
         assertEquals(
             1,
-            steps(snapshot(listOf(job), machines.take(1), listOf(drain("d-1", target = 2, cordoned = 1)))).size,
+            evictions(snapshot(listOf(job), machines.take(1), listOf(drain("d-1", target = 2, cordoned = 1)))).size,
         )
     }
 
     @Test
-    fun `a step's conditions hold all that it was planned on`() {
+    fun `makes an eviction conditional on all records that it was planned from`() {
         val job = array("job-1", "red", 0 to "h-1")
         val s = snapshot(listOf(job), listOf(machine("h-1"))).copy(lossMarks = persistentHashMapOf("n-0" to 7uL))
-        val step = DrainPlanner(s).plan().actions.filterIsInstance<DrainAction.Evict>().single()
-        val txn = EvictionTransaction(s, 5uL).build(step.drain, step.machines, step.units)
-        val wanted = mapOf(
+        val eviction = DrainPlanner(s).plan().actions.filterIsInstance<DrainAction.Evict>().single()
+        val transaction = EvictionTransaction(s, 5uL).build(eviction.drain, eviction.machines, eviction.units)
+        val expected = mapOf(
             "live/assignment" to 5uL,
             "live/fleet/drain/d-1" to 1uL,
             "live/fleet/ledger/red" to 0uL,
@@ -257,7 +257,7 @@
             "live/host/h-1" to 1uL,
             "live/job/job-1" to 1uL,
         )
-        assertEquals(wanted, txn.conditions)
-        assertEquals(setOf("live/job/job-1", "live/fleet/ledger/red"), txn.changes.mapTo(HashSet()) { it.key })
+        assertEquals(expected, transaction.conditions)
+        assertEquals(setOf("live/job/job-1", "live/fleet/ledger/red"), transaction.changes.mapTo(HashSet()) { it.key })
     }
 }
--- a/src/test/kotlin/flaxfield/drain/DrainDay.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainScenario.kt
@@ -12,23 +12,23 @@
 import flaxfield.sim.SimLoop
 import flaxfield.sim.SimUser
 
-/** How a simulation with drains is set up. */
-data class DayPlan(
+/** The setup of one [DrainScenario]. */
+data class DrainScenarioPlan(
     val seed: Int,
     val faults: String = "quiet",
     val budgets: Map<String, Amount> = BUDGETS,
-    val configOf: (Int) -> FleetConfig? = { DrainDay.config(budgets) },
-    /** Machines that may be rented in each of two zones. */
+    val configOf: (Int) -> FleetConfig? = { DrainScenario.config(budgets) },
+    /** The maximum number of rented machines in each of the two zones. */
     val machinesPerZone: Int = 13,
-    val jobs: List<JobSpec> = DrainDay.jobs(),
+    val jobs: List<JobSpec> = DrainScenario.jobs(),
 ) {
     companion object {
         val BUDGETS = mapOf("red" to Amount(12.0, 3.0), "blue" to Amount(8.0, 2.0), "green" to Amount(16.0, 4.0))
     }
 }
 
-/** Some twenty stand-in workers, three teams and three controllers, with drains ordered by the test. */
-class DrainDay(private val plan: DayPlan) {
+/** A simulated cluster of about twenty workers, three teams and three controllers; the test orders the drains. */
+class DrainScenario(private val plan: DrainScenarioPlan) {
     val cluster = SimCluster(
         plan.seed,
         plan.machinesPerZone,
@@ -37,16 +37,16 @@
         fleet = plan.configOf,
     )
     val loop = cluster.loop
-    val records = RecordChecker(cluster.store, { loop.nowS }) { team, _ -> plan.budgets[team] ?: Amount(1e9, 1e9) }
-    val workers = CapacityChecker({ loop.nowS }, plan.budgets) { cluster.invariants.isCancelRequested(it) }
+    val recordChecker = RecordChecker(cluster.store, { loop.nowS }) { team, _ -> plan.budgets[team] ?: Amount(1e9, 1e9) }
+    val capacityChecker = CapacityChecker({ loop.nowS }, plan.budgets) { cluster.invariants.isCancelRequested(it) }
     val users = plan.jobs.map { SimUser(cluster, cluster.job(it)) }
 
-    /** What controllers answered to orders, in order. */
-    val answers = ArrayList<OrderResult<DrainRecord>>()
+    /** The controllers' results of the orders, in the order received. */
+    val orderResults = ArrayList<OrderResult<DrainRecord>>()
 
     init {
-        cluster.store.onCommit = { records.check() }
-        cluster.invariants.watcher = workers
+        cluster.store.onCommit = { recordChecker.check() }
+        cluster.invariants.watcher = capacityChecker
         for (i in cluster.controllerNames.indices) loop.after(i * 150 * SimLoop.MS) { cluster.boot(i) }
         for ((n, user) in users.withIndex()) loop.after((2_000 + 150L * n) * SimLoop.MS, user::submit)
         FaultInjector(cluster, users).inject(plan.faults)
@@ -54,12 +54,12 @@
 
     fun at(seconds: Double, block: () -> Unit) = loop.after((seconds * SimLoop.SECOND).toLong(), block)
 
-    /** Orders something of the controllers, one after another, until one records it or refuses it for good. */
+    /** Sends an order to one controller after another until one records it or refuses it with a permanent error. */
     fun order(order: DrainOrder, controller: Int = 0) {
         var answered = false
         cluster.order(controller % cluster.controllerNames.size, order) { result ->
             answered = true
-            answers += result
+            orderResults += result
             val mayRetry =
                 result is OrderResult.Refused && result.fault in setOf(OrderFault.UNAVAILABLE, OrderFault.UNKNOWN)
             if (mayRetry) at(1.0) { order(order, controller + 1) }
@@ -67,28 +67,31 @@
         at(2.0) { if (!answered) order(order, controller + 1) }
     }
 
-    /** What is recorded of a drain. */
+    /** Returns the recorded phase of a drain; null if there is no record. */
     fun phase(id: String): String? = cluster.store.text(FleetKeys.DRAIN + id, "phase")
 
+    /** Returns the recorded note of a drain; null if there is no record. */
     fun note(id: String): String? = cluster.store.text(FleetKeys.DRAIN + id, "note")
 
-    /** The latest snapshot of a controller that has one. */
+    /** Returns the latest snapshot of all controllers. */
     fun snapshot(): FleetSnapshot = cluster.fleetControls.filterNotNull().map {
         it.publisher.current
     }.maxBy { it.revision }
 
     fun run(untilS: Double) {
-        if (!watching) cluster.watch(FAULTS_END_S)
-        watching = true
+        if (!isWatching) cluster.watch(FAULTS_END_S)
+        isWatching = true
         loop.runUntil(untilS)
     }
 
-    private var watching = false
+    private var isWatching = false
 
-    /** Rules of the protocol and of the records that broke. */
-    fun violations(): List<String> = cluster.invariants.violations.take(5) + cluster.store.violations.take(5) + records.violations.take(5) +
-        workers.overcharged.take(5)
+    /** Returns the violations of the protocol's invariants, of the records and of the budgets, up to five of each. */
+    fun violations(): List<String> =
+        cluster.invariants.violations.take(5) + cluster.store.violations.take(5) + recordChecker.violations.take(5) +
+            capacityChecker.evictionViolations.take(5)
 
+    /** Returns the ids of the jobs that have not reached a final phase. */
     fun unfinished(): List<String> = plan.jobs.map { it.id }.filter {
         cluster.invariants.reportedPhase(it) !in
             InvariantChecker.FINAL_PHASES
@@ -98,10 +101,10 @@
         val TEAMS = listOf("red", "blue", "green")
         const val FAULTS_END_S = 125.0
 
-        /** A file with [budgets] and classes of each policy. */
-        fun config(budgets: Map<String, Amount> = DayPlan.BUDGETS, surge: Int = 2) = FleetConfig(
+        /** Returns a fleet file with [budgets] and job classes of each repeat policy. */
+        fun config(budgets: Map<String, Amount> = DrainScenarioPlan.BUDGETS, surge: Int = 2) = FleetConfig(
             incarnation = "",
-            budgets = budgets.mapValues { (_, a) -> BudgetLimit.Absolute(Capacity(a.cpus, a.gpus)) },
+            budgets = budgets.mapValues { (_, amount) -> BudgetLimit.Absolute(Capacity(amount.cpus, amount.gpus)) },
             defaultBudget = BudgetLimit.Percent(10.0),
             classes = mapOf("deed" to RepeatPolicy.NEVER, "batch" to RepeatPolicy.ANY),
             defaultRepeat = RepeatPolicy.CHECKPOINTED,
@@ -109,7 +112,7 @@
             maxCordoned = 1_000,
         )
 
-        /** Arrays and gangs of three teams that fill some twenty machines for about four minutes. */
+        /** Returns arrays and gangs of three teams that fill about twenty machines for about four minutes. */
         fun jobs(): List<JobSpec> = (1..24).map { n ->
             val gang = n % 4 == 0
             Samples.spec(
--- a/src/test/kotlin/flaxfield/drain/LoopbackDrain.kt
+++ b/src/test/kotlin/flaxfield/drain/LoopbackDrain.kt
@@ -12,13 +12,13 @@
 
 private const val JAR = "target/flaxfield.jar"
 private const val CLIENT = "deploy/flaxfield"
-private const val MS = 1_000L
+private const val SECOND_MS = 1_000L
 private val TEAMS = listOf("red", "blue", "green")
 
-/** One command of the client as a process of its own: its exit code, its output, and how long it took. */
-private class ClientRun(val code: Int, val text: String, val ms: Long)
+/** The result of one client command, run as a process: its exit code, output and duration. */
+private class ClientRun(val code: Int, val text: String, val durationMs: Long)
 
-/** Three controllers of the built jar on loopback. */
+/** The controller processes of the built jar, on loopback addresses. */
 private class Controllers(private val world: LoopbackWorld, val nodes: List<LoopbackNode>) {
     private val files = nodes.associateWith { node ->
         world.settingsFile(node) to LoopbackWorld.temporaryFile(
@@ -34,22 +34,22 @@
             .redirectError(ProcessBuilder.Redirect.appendTo(log)).redirectOutput(ProcessBuilder.Redirect.DISCARD).start()
     }
 
-    fun client(vararg words: String, ask: List<LoopbackNode> = nodes): ClientRun {
-        val endpoints = ask.flatMap { listOf("--endpoint", "127.0.0.1:${it.operatorPort}") }
+    fun client(vararg words: String, targets: List<LoopbackNode> = nodes): ClientRun {
+        val endpoints = targets.flatMap { listOf("--endpoint", "127.0.0.1:${it.operatorPort}") }
         val startNs = System.nanoTime()
         val process = ProcessBuilder(listOf(CLIENT) + words + endpoints).redirectErrorStream(true).start()
         val text = process.inputStream.bufferedReader().readText()
         val code = process.waitFor()
         return ClientRun(code, text, (System.nanoTime() - startNs) / 1_000_000).also {
-            println("${words.joinToString(" ")}: exit ${it.code}, ${it.ms} ms")
+            println("${words.joinToString(" ")}: exit ${it.code}, ${it.durationMs} ms")
         }
     }
 }
 
 /**
- * A drain of half of the machines, ordered from the built jar's own client, against three controllers of the built jar
- * and this repository's stand-ins. The leader is killed in mid-drain and another node is asked. Not part of CI; needs a
- * build.
+ * Drains half of the machines through the built client, against three controller processes of the built jar and
+ * simulated workers, cloud and state service. The leader is killed during the drain, and the commands continue against
+ * the other controllers. Not part of CI; needs a build.
  */
 fun main() {
     val nodes = listOf(LoopbackNode("n-0", "a"), LoopbackNode("n-1", "b"), LoopbackNode("n-2", "a"))
@@ -61,13 +61,13 @@
     world.post { for ((n, j) in jobs.withIndex()) world.submit(j, n) }
     var failures = 0
     try {
-        while (world.taskStarts() < jobs.sumOf { it.taskCount }) Thread.sleep(MS / 2)
-        Thread.sleep(4 * MS)
+        while (world.taskStarts() < jobs.sumOf { it.taskCount }) Thread.sleep(SECOND_MS / 2)
+        Thread.sleep(4 * SECOND_MS)
         failures = drain(world, controllers)
     } finally {
         for (p in controllers.processes.values) p.destroyForcibly()
     }
-    println("rules broken: ${world.violations()}; ${if (failures == 0) "all as expected" else "$failures unexpected answers"}")
+    println("violations: ${world.violations()}; ${if (failures == 0) "all as expected" else "$failures unexpected results"}")
     exitProcess(if (failures == 0 && world.violations().isEmpty()) 0 else 1)
 }
 
@@ -80,44 +80,44 @@
 ).copy(expectedRuntimeS = 600.0, checkpointDurationS = 1.0, imageGb = 0.1)
 
 private fun drain(world: LoopbackWorld, controllers: Controllers): Int {
-    val answers = ArrayList<ClientRun>()
-    fun ask(vararg words: String) = controllers.client(*words).also(answers::add)
-    ask("budget", "list").also { println(it.text) }
-    ask("machines", "list")
-    ask("drain", "start", "--id", "d-1", "--type", "big", "--percent", "50").also { println(it.text) }
-    Thread.sleep(4 * MS)
-    ask("drain", "show", "d-1").also { println(it.text) }
+    val runs = ArrayList<ClientRun>()
+    fun run(vararg words: String) = controllers.client(*words).also(runs::add)
+    run("budget", "list").also { println(it.text) }
+    run("machines", "list")
+    run("drain", "start", "--id", "d-1", "--type", "big", "--percent", "50").also { println(it.text) }
+    Thread.sleep(4 * SECOND_MS)
+    run("drain", "show", "d-1").also { println(it.text) }
     val leader = controllers.nodes.first { it.name == world.leader() }
-    println("the leader ${leader.name} is killed")
+    println("killing the leader ${leader.name}")
     controllers.processes.getValue(leader).destroyForcibly().waitFor(5, TimeUnit.SECONDS)
-    ask("drain", "show", "d-1")
-    ask("budget", "show", "red").also { println(it.text) }
-    Thread.sleep(3 * MS)
+    run("drain", "show", "d-1")
+    run("budget", "show", "red").also { println(it.text) }
+    Thread.sleep(3 * SECOND_MS)
     controllers.start(leader)
     val startNs = System.nanoTime()
     val done = controllers.client("drain", "start", "--id", "d-1", "--type", "big", "--percent", "50", "--wait", "--timeout", "180")
     println(done.text)
-    println("waited ${(System.nanoTime() - startNs) / 1_000_000} ms for the end")
-    val reads = controllers.nodes.map { controllers.client("drain", "list", "--output", "json", ask = listOf(it)) }
-    val slow = answers.filter { it.ms > MS }
+    println("waited ${(System.nanoTime() - startNs) / 1_000_000} ms for the drain to finish")
+    val reads = controllers.nodes.map { controllers.client("drain", "list", "--output", "json", targets = listOf(it)) }
+    val slow = runs.filter { it.durationMs > SECOND_MS }
     println(
-        "answers: ${answers.size}, the slowest ${answers.maxOf {
-            it.ms
-        }} ms with the client's own start; over one second: ${slow.size}",
+        "commands: ${runs.size}, the slowest ${runs.maxOf {
+            it.durationMs
+        }} ms including the client's start; over one second: ${slow.size}",
     )
-    return stopCleanly(controllers) + answers.count { it.code != 0 } + reads.count { it.code != 0 } + (if (done.code == 0) 0 else 1)
+    return stopCleanly(controllers) + runs.count { it.code != 0 } + reads.count { it.code != 0 } + (if (done.code == 0) 0 else 1)
 }
 
-/** Reads the files again and ends one process by its signals; how many of the two did not go as they should. */
+/** Sends SIGHUP to reload the fleet file and then SIGTERM to one process; returns how many of the two failed. */
 private fun stopCleanly(controllers: Controllers): Int {
     val node = controllers.nodes.last()
     val process = controllers.processes.getValue(node)
     ProcessBuilder("kill", "-HUP", process.pid().toString()).start().waitFor()
-    Thread.sleep(MS)
+    Thread.sleep(SECOND_MS)
     val startNs = System.nanoTime()
     process.destroy()
-    val ended = process.waitFor(10, TimeUnit.SECONDS)
-    println("SIGTERM: ended=$ended after ${(System.nanoTime() - startNs) / 1_000_000} ms")
+    val exited = process.waitFor(10, TimeUnit.SECONDS)
+    println("SIGTERM: exited=$exited after ${(System.nanoTime() - startNs) / 1_000_000} ms")
     val log = File("target/loopback-${node.name}.log").readText()
-    return (if (ended && "stopped" in log) 0 else 1) + (if ("read again" in log) 0 else 1)
+    return (if (exited && "event=stop_finished" in log) 0 else 1) + (if ("event=fleet_file_reloaded" in log) 0 else 1)
 }
--- a/src/test/kotlin/flaxfield/drain/RecordChecker.kt
+++ b/src/test/kotlin/flaxfield/drain/RecordChecker.kt
@@ -2,38 +2,38 @@
 
 import flaxfield.sim.SimStore
 
-/** An amount of CPUs and GPUs as the checkers count them. */
+/** An amount of CPUs and GPUs, counted independently of [Capacity]. */
 data class Amount(val cpus: Double, val gpus: Double) {
     operator fun plus(other: Amount) = Amount(cpus + other.cpus, gpus + other.gpus)
 
-    /** Whether either part is above that of [other], by more than rounding. */
-    fun above(other: Amount) = cpus > other.cpus + ROUNDING || gpus > other.gpus + ROUNDING
+    /** Returns whether either resource exceeds that of [other] by more than a rounding error. */
+    fun exceeds(other: Amount) = cpus > other.cpus + EPSILON || gpus > other.gpus + EPSILON
 
     companion object {
         val NONE = Amount(0.0, 0.0)
-        private const val ROUNDING = 1e-3
+        private const val EPSILON = 1e-3
     }
 }
 
 /**
- * Recounts from the state service's raw records, after each transaction, what every team lacks. It shares no code with
- * the planner. A transaction that stops tasks on a cordoned machine is a step: it must charge each of them to the
- * ledger, and no team may then lack more than its budget.
+ * Counts the unavailable capacity of each team from the raw records of the state service after each transaction. It
+ * shares no code with the planner. A transaction that stops tasks on a cordoned machine is an eviction. It must charge
+ * each of the tasks to a ledger, and no team's unavailable capacity may then exceed its budget.
  */
 class RecordChecker(private val store: SimStore, private val now: () -> Double, private val budget: (String, Amount) -> Amount) {
     private class Task(val team: String, val size: Amount, val machineName: String?, val stopping: Boolean, val lost: Boolean)
 
-    /** What broke a rule of the records: when, whom and how. */
+    /** Descriptions of the violations: time, team or task, and what was violated. */
     val violations = ArrayList<String>()
 
-    /** Each step: when, the teams that it charged, and what each lacked then, of how much. */
-    val steps = ArrayList<String>()
+    /** The evictions, one entry per charged team: time, team, unavailable capacity and budget. */
+    val evictions = ArrayList<String>()
 
-    /** Told of each transaction that was a step. */
-    var onStep: () -> Unit = {}
+    /** Called for each transaction that is an eviction. */
+    var onEviction: () -> Unit = {}
     private var stoppingBefore: Set<String> = emptySet()
 
-    /** Recounts now; to be called after every transaction. */
+    /** Checks the current records; must be called after each transaction. */
     fun check() {
         val tasks = tasks()
         val charged = charged()
@@ -43,33 +43,36 @@
         val chargedTeams = HashSet<String>()
         for (name in stopping - stoppingBefore) {
             val task = tasks.getValue(name)
-            // The other members of a gang stop with the one on the drained machine.
+            // A gang is evicted as a whole if one of its members is on a drained machine.
             val isInDrainedGang = tasks.any { (other, member) ->
                 jobOf(other) == jobOf(name) && member.machineName in drained
             }
             if (task.machineName !in drained && !(isInDrainedGang && name in charged)) continue
-            if (task.machineName in drained && name !in charged && !lostGang(name, tasks)) {
-                violations += "${now()}: $name is stopped without a charge"
+            if (task.machineName in drained && name !in charged && !hasLostMember(name, tasks)) {
+                violations += "${now()}: $name is stopped without a ledger entry"
             }
             if (name in charged) chargedTeams += task.team
         }
         stoppingBefore = stopping
-        for (team in chargedTeams) step(team, tasks, charged)
-        if (chargedTeams.isNotEmpty()) onStep()
+        for (team in chargedTeams) checkBudget(team, tasks, charged)
+        if (chargedTeams.isNotEmpty()) onEviction()
     }
 
-    private fun step(team: String, tasks: Map<String, Task>, charged: Set<String>) {
+    private fun checkBudget(team: String, tasks: Map<String, Task>, charged: Set<String>) {
         val ofTeam = tasks.filterValues { it.team == team }
         val expected = ofTeam.values.fold(Amount.NONE) { sum, task -> sum + task.size }
-        val lacking = ofTeam.filter { (name, task) -> task.stopping || task.lost || name in charged }
-        val unavailable = lacking.values.fold(Amount.NONE) { sum, task -> sum + task.size }
+        val unavailableTasks = ofTeam.filter { (name, task) -> task.stopping || task.lost || name in charged }
+        val unavailable = unavailableTasks.values.fold(Amount.NONE) { sum, task -> sum + task.size }
         val allowed = budget(team, expected)
-        steps += "${now()}: $team lacks $unavailable of $allowed"
-        if (unavailable.above(allowed)) violations += "${now()}: $team lacks $unavailable of $allowed: ${lacking.keys}"
+        evictions += "${now()}: $team has $unavailable unavailable, allowed $allowed"
+        if (unavailable.exceeds(allowed)) {
+            violations +=
+                "${now()}: $team has $unavailable unavailable, allowed $allowed: ${unavailableTasks.keys}"
+        }
     }
 
-    /** A gang that lost a member is stopped as a whole by others than drains. */
-    private fun lostGang(name: String, tasks: Map<String, Task>) =
+    /** Returns whether the task's gang has lost a member: such a gang is stopped as a whole without a drain. */
+    private fun hasLostMember(name: String, tasks: Map<String, Task>) =
         tasks.any { (other, member) -> jobOf(other) == jobOf(name) && member.lost }
 
     private fun jobOf(name: String) = name.substringBefore('/')
@@ -109,7 +112,7 @@
     }
 
     private companion object {
-        /** Prefixes of the keys in the state service. */
+        /** Key prefixes in the state service. */
         const val MACHINES = "live/host/"
         const val LEDGER = "live/fleet/ledger/"
         const val JOBS = "live/job/"
--- a/src/test/kotlin/flaxfield/drain/RecordCheckerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/RecordCheckerTest.kt
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** The checker of steps finds the faults that it is there for; records are written as a faulty controller would. */
+/** Checks that [RecordChecker] detects violations, with records as a faulty controller would write them. */
 class RecordCheckerTest {
     private val loop = SimLoop(1)
-    private val state = SimStore(loop, StateLimits(1e6, 1e6, 64.0, 100))
-    private val checker = RecordChecker(state, { loop.nowS }) { _, _ -> Amount(8.0, 2.0) }
+    private val store = SimStore(loop, StateLimits(1e6, 1e6, 64.0, 100))
+    private val checker = RecordChecker(store, { loop.nowS }) { _, _ -> Amount(8.0, 2.0) }
 
     init {
         write("live/host/h" to FleetCodec.encode(Samples.machine("h").copy(cordon = "d-1")))
@@ -29,7 +29,7 @@
             "when" to emptyList<Any>(),
             "apply" to records.map { mapOf("write" to it.first, "value" to it.second) },
         )
-        state.serve(0, "POST", "/txn", Cbor.encode(body)) { assertEquals(200, it.status) }
+        store.serve(0, "POST", "/txn", Cbor.encode(body)) { assertEquals(200, it.status) }
         checker.check()
     }
 
@@ -41,49 +41,49 @@
         "live/fleet/ledger/red" to DrainCodec.encode(Ledger("red", tasks.associateWith { Disruption(1, "d-1") }, 0uL))
 
     @Test
-    fun `a step within the budget is none of them`() {
+    fun `accepts an eviction within the budget`() {
         val job = placed("job-1")
         write(head(job))
         write(head(job.stop(listOf(0, 1))), ledger(TaskId("job-1", 0), TaskId("job-1", 1)))
         assertEquals(emptyList<String>(), checker.violations)
-        assertEquals(1, checker.steps.size)
+        assertEquals(1, checker.evictions.size)
     }
 
     @Test
-    fun `a halt before its charge`() {
+    fun `reports a task that is stopped before it is charged to the ledger`() {
         val job = placed("job-1")
         write(head(job))
         write(head(job.stop(listOf(0))))
-        assertTrue("without a charge" in checker.violations.single(), checker.violations.toString())
+        assertTrue("without a ledger entry" in checker.violations.single(), checker.violations.toString())
     }
 
     @Test
-    fun `two drains that each keep a ledger of their own`() {
+    fun `reports two drains that overwrite each other's ledger entries`() {
         val jobs = listOf(placed("job-1"), placed("job-2"))
         write(*jobs.map(::head).toTypedArray())
         write(head(jobs[0].stop(listOf(0, 1))), ledger(TaskId("job-1", 0), TaskId("job-1", 1)))
-        // The second step forgets what the first has charged.
+        // The second eviction drops the ledger entries of the first.
         write(head(jobs[1].stop(listOf(0))), ledger(TaskId("job-2", 0)))
-        assertTrue("lacks" in checker.violations.single(), checker.violations.toString())
+        assertTrue("unavailable, allowed" in checker.violations.single(), checker.violations.toString())
     }
 
     @Test
-    fun `an entry that was freed by time while its task is still lost`() {
+    fun `reports a ledger entry that is released while its task is still lost`() {
         val jobs = listOf(placed("job-1"), placed("job-2"))
         write(*jobs.map(::head).toTypedArray())
         write(head(jobs[0].stop(listOf(0, 1))), ledger(TaskId("job-1", 0), TaskId("job-1", 1)))
         write(head(jobs[0].free(listOf(0, 1)).interrupt(listOf(0, 1))), ledger())
         write(head(jobs[1].stop(listOf(0))), ledger(TaskId("job-2", 0)))
-        assertTrue("lacks" in checker.violations.single(), checker.violations.toString())
+        assertTrue("unavailable, allowed" in checker.violations.single(), checker.violations.toString())
     }
 
     @Test
-    fun `a step on top of unplanned losses`() {
+    fun `reports an eviction that exceeds the budget together with lost tasks`() {
         val jobs = listOf(placed("job-1"), placed("job-2"))
         write(*jobs.map(::head).toTypedArray())
         write(head(jobs[0].free(listOf(0, 1)).interrupt(listOf(0, 1))))
         assertEquals(emptyList<String>(), checker.violations)
         write(head(jobs[1].stop(listOf(0))), ledger(TaskId("job-2", 0)))
-        assertTrue("lacks" in checker.violations.single(), checker.violations.toString())
+        assertTrue("unavailable, allowed" in checker.violations.single(), checker.violations.toString())
     }
 }
