--- a/src/main/kotlin/flaxfield/drain/Capacity.kt
+++ b/src/main/kotlin/flaxfield/drain/Capacity.kt
@@ -19,7 +19,7 @@
     /** Returns the smaller amount of each resource. */
     fun min(other: Capacity) = Capacity(minOf(cpus, other.cpus), minOf(accelerators, other.accelerators))
 
-    /** Returns the dominant share of [limit]: the larger of the CPU and the accelerator fraction. */
+    /** Returns the dominant share of [limit]: the larger of the two fractions; 0 if this amount is 0. */
     fun fractionOf(limit: Capacity): Double =
         maxOf(fraction(cpus, limit.cpus), fraction(accelerators, limit.accelerators))
 
--- a/src/main/kotlin/flaxfield/drain/DrainOrder.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrder.kt
@@ -7,7 +7,7 @@
     /** Starts a drain of the machines that [selector] matches. */
     data class Start(override val id: String, val selector: Selector) : DrainOrder
 
-    /** Suspends the drain: it cordons and evicts nothing until it is resumed. */
+    /** Suspends the drain until it is resumed. */
     data class Pause(override val id: String) : DrainOrder
 
     /** Continues a paused drain. */
--- a/src/main/kotlin/flaxfield/drain/DrainOrderRules.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrderRules.kt
@@ -14,7 +14,7 @@
 
 /** Decides the effect of an order on a drain's current record. Pure. */
 object DrainOrderRules {
-    /** Returns the effect of [order] on [existing], the current record of its drain; null if there is none. */
+    /** Returns the effect of [order] on [existing], its drain's current record, which is null for an unknown drain. */
     fun effect(order: DrainOrder, existing: DrainRecord?, snapshot: FleetSnapshot, nowMs: Long): OrderEffect {
         if (order is DrainOrder.Start) return start(order, existing, snapshot, nowMs)
         if (existing == null) return notFound("no drain ${order.id}")
--- a/src/main/kotlin/flaxfield/drain/DrainOrders.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrders.kt
@@ -38,7 +38,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.drain")
 
-        /** The fraction of the maximum value size that a new record may fill; the rest is for the drain's progress. */
+        /** The fraction of the maximum value size that an order's record may fill; the rest is for the drain's progress. */
         const val MAX_RECORD_FILL = 0.9
     }
 }
--- a/src/main/kotlin/flaxfield/drain/FleetControl.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetControl.kt
@@ -41,13 +41,13 @@
      * complete: a controller that has just started knows no machines, zones or drains.
      */
     fun order(order: DrainOrder, done: (OrderResult<DrainRecord>) -> Unit) {
-        if (!publisher.complete) return done(VIEW_INCOMPLETE)
+        if (!publisher.isComplete) return done(VIEW_INCOMPLETE)
         drainOrders.submit(order, publisher.current, done)
     }
 
     /** Records an operator's order to abandon the tasks of [jobClass] in the lost [zone]; see [order]. */
     fun abandon(zone: String, jobClass: String, done: (OrderResult<AbandonOrder>) -> Unit) {
-        if (!publisher.complete) return done(VIEW_INCOMPLETE)
+        if (!publisher.isComplete) return done(VIEW_INCOMPLETE)
         abandonOrders.take(zone, jobClass, publisher.current, done)
     }
 
@@ -59,7 +59,7 @@
     override fun onViewAdvanced() = publisher.publish()
 
     override fun tick() {
-        if (context.nowNs < nextRunNs || !publisher.complete) return
+        if (context.nowNs < nextRunNs || !publisher.isComplete) return
         nextRunNs = context.nowNs + intervalNs
         val snapshot = publisher.current
         if (!context.leadership.mayAct()) return
@@ -89,7 +89,7 @@
      * ahead, since an evicted task that waits for a machine to boot would use its team's budget all the while.
      */
     override fun demands(): List<CapacityDemand> =
-        if (publisher.complete) SurgeDemand.of(publisher.current) else emptyList()
+        if (publisher.isComplete) SurgeDemand.of(publisher.current) else emptyList()
 
     private companion object {
         /** The interval between runs in heartbeat intervals; heartbeats prove that evicted tasks run again. */
--- a/src/main/kotlin/flaxfield/drain/OrderResult.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderResult.kt
@@ -15,7 +15,7 @@
     }
 }
 
-/** Why an order is not known to be recorded. */
+/** Why an order was refused, or why its outcome is unknown. */
 enum class OrderFault {
     /** The order names something that does not exist. */
     NOT_FOUND,
--- a/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
+++ b/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
@@ -22,7 +22,7 @@
         private set
 
     /** Whether the view is complete: false while it is being listed, initially or again after it was cleared. */
-    var complete = false
+    var isComplete = false
         private set
 
     /** The snapshot under construction: [changed] applies fleet records to it, [publish] applies the rest. */
@@ -47,7 +47,7 @@
     }
 
     override fun cleared() {
-        complete = false
+        isComplete = false
         next = FleetSnapshot()
         changedJobs.clear()
         changedMachines.clear()
@@ -71,7 +71,7 @@
         changedJobs.clear()
         changedMachines.clear()
         statusesChanged = false
-        complete = true
+        isComplete = true
         current = next
     }
 
--- a/src/main/kotlin/flaxfield/drain/WaitReason.kt
+++ b/src/main/kotlin/flaxfield/drain/WaitReason.kt
@@ -25,7 +25,7 @@
     /** An older drain waits for the budget of [team]. */
     data class OlderDrainFirst(val drain: String, val team: String) : WaitReason
 
-    /** All tasks that are left on the machine, [tasks] in number, are stopping. */
+    /** All [tasks] tasks that are left on the machine are already being stopped. */
     data class Stopping(val tasks: Int) : WaitReason
 
     /** The gang of [job] is being stopped, or is not fully placed. */
--- a/src/test/kotlin/flaxfield/drain/DrainMeasurement.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainMeasurement.kt
@@ -12,26 +12,26 @@
 /** Measures a drain of [percent] of the machines in a simulated cluster with one task per machine. */
 private class MeasuredDrain(private val machines: Int, private val percent: Double, private val withDrain: Boolean) {
     private val taskSize = Amount(14.0, 4.0)
-    private val machinesPerTeam = machines / DrainScenario.TEAMS.size
+    private val machinesPerTeam = machines / DrainDay.TEAMS.size
 
     /**
      * The fraction of a team's capacity that may be unavailable. It is larger for small teams, since a tenth of their
      * capacity covers no single task.
      */
     private val budgetFraction = if (machinesPerTeam < SMALL_TEAM_MACHINES) BUDGET_FRACTION * 2 else BUDGET_FRACTION
-    private val budgets = DrainScenario.TEAMS.associateWith {
+    private val budgets = DrainDay.TEAMS.associateWith {
         Amount(
             taskSize.cpus * machinesPerTeam * budgetFraction,
             taskSize.gpus * machinesPerTeam * budgetFraction,
         )
     }
-    private val config = DrainScenario.config(emptyMap(), surge = maxOf(2, machines / 50))
+    private val config = DrainDay.config(emptyMap(), surge = maxOf(2, machines / 50))
         .copy(defaultBudget = BudgetLimit.Percent(budgetFraction * 100))
     private val cluster = SimCluster(
         seed = machines,
         machinesPerZone = machines,
         limits = StateLimits(maxOf(150.0, machines * 0.5), maxOf(60.0, machines * 0.05), 32.0, 24),
-        teams = DrainScenario.TEAMS.map { Samples.team(it) },
+        teams = DrainDay.TEAMS.map { Samples.team(it) },
         fleet = { if (withDrain) config else null },
     )
     private val loop = cluster.loop
@@ -40,7 +40,7 @@
 
     private fun jobs(): List<JobSpec> {
         val size = minOf(100, maxOf(1, machinesPerTeam / 3))
-        return DrainScenario.TEAMS.flatMapIndexed { t, team ->
+        return DrainDay.TEAMS.flatMapIndexed { t, team ->
             (0 until machinesPerTeam / size).map { n ->
                 Samples.spec(
                     "job-${t + 1}$n",
@@ -110,7 +110,7 @@
      * Returns the least duration of the drain within the budgets: for each team, its number of stops divided by the
      * tasks that may be unavailable at once, times the mean unavailability of a stopped task.
      */
-    private fun minDurationS(): Double = DrainScenario.TEAMS.maxOf { team ->
+    private fun minDurationS(): Double = DrainDay.TEAMS.maxOf { team ->
         val stops = meter.stops.filterKeys { cluster.specs[it.substringBefore('/')]?.team == team }.values.sum()
         val atOnce = maxOf(1, (machinesPerTeam * budgetFraction).toInt())
         stops.toDouble() / atOnce * meter.meanS
