--- a/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
@@ -36,7 +36,7 @@
         if (!isOpen(machine)) return null
         val workerState = workerHealth.workerState(machine.name)
         val heartbeat = workerState.heartbeat ?: return null
-        val taskSlots = HeartbeatReconciler.MAX_TASKS - view.tasksOn(machine.name)
+        val taskSlots = HeartbeatReconciler.MAX_TASKS_PER_MACHINE - view.taskCountOn(machine.name)
         if (taskSlots <= 0) return null
         return PlacementCandidate(
             machine,
@@ -48,7 +48,7 @@
         )
     }
 
-    private fun isOpen(machine: Machine): Boolean = machine.takesWork &&
+    private fun isOpen(machine: Machine): Boolean = machine.isSchedulable &&
         context.zones?.acceptsPlacements(machine) != false &&
         context.view.activeReservation(machine) == null &&
         !context.transactions.isWritePending(StoreKeys.MACHINE + machine.name) &&
@@ -79,7 +79,7 @@
         context.scheduling.isStarved(job) ||
         OnDemandUrgency.isOverdueWithoutObjective(
             (context.nowMs - job.submittedMs) / MILLIS_PER_SECOND,
-            begun = job.placedCount + job.doneCount > 0,
+            hasStarted = job.placedCount + job.doneCount > 0,
         )
 
     /** Machine types of which waiting gangs will take every on-demand machine; counted anew now and then. */
@@ -97,7 +97,7 @@
         val openMachines = HashMap<String, Int>()
         for (machine in view.machines.values) {
             val isHealthyOnDemand = !machine.preemptible &&
-                machine.takesWork &&
+                machine.isSchedulable &&
                 view.machineStatus(machine.name)?.state == MachineHealth.OK
             if (!isHealthyOnDemand) continue
             if (view.jobsOn(machine.name).none { it.isGang }) openMachines.merge(machine.machineType, 1, Int::plus)
--- a/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
@@ -79,7 +79,7 @@
         // Keeps one place of the team's quota for a starved job without a machine: else it loses each place that comes
         // free to the jobs after it.
         if (placed == 0 && context.scheduling.isStarved(job)) cycle.usage.add(job.spec.team, job.spec.taskResources)
-        if (missing > 0 && !job.isSuspect) {
+        if (missing > 0 && !job.isCrashLooping) {
             val ourShare = missing / (context.view.assignment?.members?.size ?: 1) + 1
             cycle.headOfLine.reserve(job.spec, ourShare, cycle.candidates) { arrayCandidates.isSuitable(job, it) }
         }
@@ -100,4 +100,4 @@
 
 /** Whether a placement of [job] must also bump its team's quota fence. */
 internal fun isQuotaLimited(context: ControllerContext, job: Job): Boolean =
-    context.settings.teams[job.spec.team]?.limited ?: false
+    context.settings.teams[job.spec.team]?.hasLimit ?: false
--- a/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
@@ -25,13 +25,13 @@
      */
     fun place(job: Job, candidates: List<PlacementCandidate>, usage: TeamUsage, term: ULong): Int {
         val team = context.settings.teams[job.spec.team] ?: return 0
-        if (team.limited && context.transactions.isWritePending(StoreKeys.QUOTA_FENCE + team.name)) return 0
+        if (team.hasLimit && context.transactions.isWritePending(StoreKeys.QUOTA_FENCE + team.name)) return 0
         val placement = findPlacement(job, candidates, usage)
         if (placement.isEmpty()) return 0
         usage.add(team.name, job.spec.taskResources * placement.size)
         val isFewTasks = placement.size < minOf(JobTransactions.BULK_TASKS, job.pendingCount)
         val cause = if (isFewTasks) WriteCause.TRICKLE else WriteCause.ARRAY
-        if (context.transactions.mayWrite(cause, if (team.limited) 2 else 1)) {
+        if (context.transactions.mayWrite(cause, if (team.hasLimit) 2 else 1)) {
             send(job, placement, team, cause, term)
         } else {
             log.debug("event=placement_deferred job={} reason=write_budget", job.id)
@@ -65,7 +65,7 @@
         return job.allPlaced().map { context.view.machines[it.machineName]?.zone.orEmpty() }.toList()
     }
 
-    private fun maxConcurrentTasks(job: Job): Int = if (job.isSuspect) {
+    private fun maxConcurrentTasks(job: Job): Int = if (job.isCrashLooping) {
         MAX_SUSPECT_TASKS
     } else {
         ShortTaskPolicy.maxConcurrentTasks(
@@ -105,7 +105,7 @@
         team: Team,
     ): Transaction {
         val conditions = base.conditions + machineVersions(placement.values)
-        if (!team.limited) return Transaction(conditions, base.changes)
+        if (!team.hasLimit) return Transaction(conditions, base.changes)
         val fenceKey = StoreKeys.QUOTA_FENCE + team.name
         return Transaction(
             conditions + (fenceKey to context.view.version(fenceKey)),
--- a/src/main/kotlin/flaxfield/arrays/GangCapacityReservation.kt
+++ b/src/main/kotlin/flaxfield/arrays/GangCapacityReservation.kt
@@ -29,7 +29,7 @@
     fun update(jobs: Collection<Job>, machineTypes: Collection<MachineType>, nowMs: Long, keepMs: Long) {
         reserveMachineTypes(jobs, machineTypes, nowMs, keepMs)
         updateLatestGangs(jobs, nowMs - keepMs)
-        val waiting = jobs.filter { it.isGang && !it.cancelled && it.placedCount == 0 && !it.isSuspect }
+        val waiting = jobs.filter { it.isGang && !it.cancelled && it.placedCount == 0 && !it.isCrashLooping }
         waitingGangs = waiting.groupBy { it.spec.team }
         waitingTasks = machineTypes.associate { type ->
             val gangs = waiting.filter { !it.spec.preemptible && JobAdmission.allowed(it.spec, type) }
--- a/src/main/kotlin/flaxfield/arrays/ShortTaskPolicy.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShortTaskPolicy.kt
@@ -13,7 +13,7 @@
         concurrentTasks(spec, bootTimeS, heartbeatIntervalS, MIN_CONCURRENT_TASKS)
 
     /** How many more places are worth scaling out for [pending] tasks, while [placed] others have theirs. */
-    fun placesToProvision(
+    fun slotsToProvision(
         spec: JobSpec,
         pending: Int,
         placed: Int,
--- a/src/main/kotlin/flaxfield/controller/Leadership.kt
+++ b/src/main/kotlin/flaxfield/controller/Leadership.kt
@@ -9,10 +9,10 @@
     var leaseUntilNs: Long = 0
 
     /** Whether this process's lease in the store is surely valid now. */
-    fun leaseValid(): Boolean = clock.steadyNs() < leaseUntilNs
+    fun leaseValid(): Boolean = clock.monotonicNs() < leaseUntilNs
 
     /** The current term, which is also the workers' fencing token, if this process is a member under it; else null. */
-    fun term(): ULong? = view.assignment?.takeIf { it.has(self) }?.term
+    fun term(): ULong? = view.assignment?.takeIf { it.contains(self) }?.term
 
     /** Whether this process may decide now: a member whose lease is surely valid. */
     fun mayAct(): Boolean = term() != null && leaseValid()
--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -96,5 +96,5 @@
     }
 
     /** Returns whether [job] counts towards its team's budget: cancelled and crash-looping jobs do not. */
-    private fun countsTowardsBudget(job: Job) = !job.cancelled && !job.isSuspect
+    private fun countsTowardsBudget(job: Job) = !job.cancelled && !job.isCrashLooping
 }
--- a/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainPlanner.kt
@@ -75,8 +75,8 @@
 
     /** Returns the schedulable machines that [drain] selects and no drain has cordoned yet, ordered from the oldest. */
     private fun candidates(drain: DrainRecord): List<Machine> = snapshot.machines.values
-        .filter { it.takesWork && drain.selector.matches(it, drain.orderedMs) }
-        .sortedWith(compareBy({ it.sinceMs }, { it.name }))
+        .filter { it.isSchedulable && drain.selector.matches(it, drain.orderedMs) }
+        .sortedWith(compareBy({ it.rentedMs }, { it.name }))
 
     private fun countTarget(drain: DrainRecord): Int {
         val all = candidates(drain).size
--- a/src/main/kotlin/flaxfield/drain/DrainRecords.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainRecords.kt
@@ -18,7 +18,7 @@
     fun matches(machine: Machine, orderedMs: Long): Boolean = (machines.isEmpty() || machine.name in machines) &&
         (machineType == null || machine.machineType == machineType) &&
         (zone == null || machine.zone == zone) &&
-        machine.sinceMs + ((olderThanS ?: 0.0) * MILLIS_PER_SECOND).toLong() <= orderedMs
+        machine.rentedMs + ((olderThanS ?: 0.0) * MILLIS_PER_SECOND).toLong() <= orderedMs
 
     private companion object {
         const val MILLIS_PER_SECOND = 1000.0
--- a/src/main/kotlin/flaxfield/drain/FleetControl.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetControl.kt
@@ -81,7 +81,7 @@
         context.transactions.submit(WriteCause.FLEET, Transaction(mapOf(StoreKeys.ASSIGNMENT to term), changes))
     }
 
-    override fun lossMark(): Change =
+    override fun lossRecord(): Change =
         Change.Put(FleetKeys.LOSS + context.self.name, mapOf("run" to context.self.incarnation, "mark" to ++lossMarks))
 
     /**
--- a/src/main/kotlin/flaxfield/drain/OrderWriter.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderWriter.kt
@@ -20,7 +20,7 @@
         value: Map<String, Any?>,
         done: (OrderResult<Unit>) -> Unit,
     ) {
-        if (context.storeContact.isSilent(context.settings.workers.leaseS)) {
+        if (context.storeContact.isUnreachable(context.settings.workers.leaseS)) {
             return done(unavailable("the state service does not answer"))
         }
         if (context.transactions.isWritePending(key)) {
--- a/src/main/kotlin/flaxfield/fleet/BootMonitor.kt
+++ b/src/main/kotlin/flaxfield/fleet/BootMonitor.kt
@@ -15,7 +15,7 @@
     fun update() {
         latestReportedRentalMs.clear()
         for (machine in view.machines.values) {
-            if (hasReported(machine)) latestReportedRentalMs.merge(machine.machineType, machine.sinceMs, ::maxOf)
+            if (hasReported(machine)) latestReportedRentalMs.merge(machine.machineType, machine.rentedMs, ::maxOf)
         }
     }
 
@@ -25,8 +25,8 @@
      */
     fun status(machine: Machine, machineType: MachineType, nowMs: Long): BootStatus {
         if (hasReported(machine)) return BootStatus.BOOTING
-        val ageS = (nowMs - machine.sinceMs) / MILLIS_PER_SECOND
-        val laterRentalsUp = (latestReportedRentalMs[machine.machineType] ?: 0L) >= machine.sinceMs
+        val ageS = (nowMs - machine.rentedMs) / MILLIS_PER_SECOND
+        val laterRentalsUp = (latestReportedRentalMs[machine.machineType] ?: 0L) >= machine.rentedMs
         return BootStatus.of(ageS, machineType.bootTimeS, laterRentalsUp)
     }
 
--- a/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
@@ -85,7 +85,7 @@
     private fun slotsToProvision(job: Job): Int {
         if (job.isGang) return job.pendingCount
         val bootTimeS = allowedMachineTypes(job.spec).minOfOrNull { it.bootTimeS } ?: 0.0
-        return ShortTaskPolicy.placesToProvision(
+        return ShortTaskPolicy.slotsToProvision(
             job.spec,
             job.pendingCount,
             job.placedCount,
@@ -110,7 +110,7 @@
             it.preemptible && TopologyConstraint.allowsMachineKind(job.spec, it.machineType, it.zone, true)
         }
         if (objectives.isEmpty() && hasSpotMachines) {
-            return OnDemandUrgency.isOverdueWithoutObjective(ageS, begun = job.placedCount + job.doneCount > 0)
+            return OnDemandUrgency.isOverdueWithoutObjective(ageS, hasStarted = job.placedCount + job.doneCount > 0)
         }
         val withinS = objectives.maxOfOrNull { it.withinS } ?: context.settings.workers.cancelS
         return ageS > withinS * (if (hasSpotMachines) URGENT_AGE_FACTOR else URGENT_AGE_FACTOR_WITHOUT_SPOT)
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -32,12 +32,12 @@
         )
         http.send("POST", "/machines", body, timeoutMs) { response ->
             done(
-                decodeOr(RentalResponse.Unclear) {
+                decodeOr(RentalResponse.Unknown) {
                     when (response?.status) {
                         HttpStatus.OK -> RentalResponse.Granted(Cbor.decode(response.body).textList("hosts").orEmpty())
                         HttpStatus.SERVICE_UNAVAILABLE -> decodeUnavailable(Cbor.decode(response.body))
-                        HttpStatus.BAD_REQUEST -> RentalResponse.Malformed
-                        else -> RentalResponse.Unclear
+                        HttpStatus.BAD_REQUEST -> RentalResponse.Rejected
+                        else -> RentalResponse.Unknown
                     }
                 },
             )
@@ -46,7 +46,7 @@
 
     private fun decodeUnavailable(fields: FieldMap): RentalResponse {
         val lacksCapacity = fields.text("error")?.contains("capacity") ?: false
-        return if (lacksCapacity) RentalResponse.NoCapacity else RentalResponse.Unclear
+        return if (lacksCapacity) RentalResponse.NoCapacity else RentalResponse.Unknown
     }
 
     /** Returns machines to the cloud; passes true to [done] once they and all tasks on them are terminated. */
--- a/src/main/kotlin/flaxfield/fleet/CloudResponses.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudResponses.kt
@@ -9,10 +9,10 @@
     data object NoCapacity : RentalResponse
 
     /** The cloud rejects the request as malformed, so that repeating it is of no use. */
-    data object Malformed : RentalResponse
+    data object Rejected : RentalResponse
 
     /** The outcome is unknown (no response or a transient error): the request is repeated under the same name. */
-    data object Unclear : RentalResponse
+    data object Unknown : RentalResponse
 }
 
 /** A machine in the cloud's list; [failed] if it terminated on its own. */
--- a/src/main/kotlin/flaxfield/fleet/FleetCodec.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetCodec.kt
@@ -14,7 +14,7 @@
         "site" to machine.zone,
         "lendable" to machine.preemptible,
         "phase" to machine.phase.name.lowercase(),
-        "at" to machine.sinceMs,
+        "at" to machine.rentedMs,
         "claim" to machine.reservation?.let(::encode),
     ) + (machine.cordon?.let { mapOf("cordon" to it) } ?: emptyMap())
 
--- a/src/main/kotlin/flaxfield/fleet/Machine.kt
+++ b/src/main/kotlin/flaxfield/fleet/Machine.kt
@@ -33,12 +33,12 @@
     val preemptible: Boolean,
     val phase: MachinePhase,
     /** When it was rented; wall clock in milliseconds. */
-    val sinceMs: Long,
+    val rentedMs: Long,
     val reservation: MachineReservation?,
     val version: ULong,
     /** The drain that cordons this machine; null if it is not cordoned. */
     val cordon: String? = null,
 ) {
     /** Whether its record allows new tasks on it: it is neither draining, retiring nor cordoned. */
-    val takesWork: Boolean get() = phase == MachinePhase.UP && cordon == null
+    val isSchedulable: Boolean get() = phase == MachinePhase.UP && cordon == null
 }
--- a/src/main/kotlin/flaxfield/fleet/OnDemandUrgency.kt
+++ b/src/main/kotlin/flaxfield/fleet/OnDemandUrgency.kt
@@ -25,8 +25,8 @@
     }
 
     /** Whether a job of a class without objectives has waited so long that it may never start, or never finish. */
-    fun isOverdueWithoutObjective(ageS: Double, begun: Boolean): Boolean =
-        ageS > JobOrder.START_OBJECTIVE_S * (if (begun) STARTED_FACTOR else NOT_STARTED_FACTOR)
+    fun isOverdueWithoutObjective(ageS: Double, hasStarted: Boolean): Boolean =
+        ageS > JobOrder.START_OBJECTIVE_S * (if (hasStarted) STARTED_FACTOR else NOT_STARTED_FACTOR)
 
     /** The age limits without an objective, as multiples of [JobOrder.START_OBJECTIVE_S]. */
     private const val NOT_STARTED_FACTOR = 0.5
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
@@ -93,7 +93,7 @@
     }
 
     private fun bin(machine: Machine): Bin? {
-        if (!machine.takesWork || context.view.activeReservation(machine) != null) return null
+        if (!machine.isSchedulable || context.view.activeReservation(machine) != null) return null
         if (context.zones?.isReachable(machine) == false || !isUpOrBooting(machine)) return null
         val free = freeWithoutBackfill(machine) ?: return null
         return Bin(machine.name, machine.machineType, machine.zone, machine.preemptible, free)
@@ -114,7 +114,7 @@
     private fun freeWithoutBackfill(machine: Machine): Resources? {
         val free = context.view.free(machine) ?: return null
         return context.view.jobsOn(machine.name).filter { isBackfill(it, machine) }.fold(free) { sum, job ->
-            sum + job.spec.taskResources * context.view.countOn(machine.name, job.id)
+            sum + job.spec.taskResources * context.view.taskCountOn(machine.name, job.id)
         }
     }
 
@@ -125,7 +125,7 @@
         val view = context.view
         val hasArrayBacklog = hasArrayBacklog()
         for (machine in view.machines.values) {
-            val isIdle = machine.takesWork &&
+            val isIdle = machine.isSchedulable &&
                 machine.name !in usedMachines &&
                 (view.isEmpty(machine.name) || !hasArrayBacklog && hasOnlyBackfill(machine)) &&
                 view.machineStatus(machine.name)?.state == MachineHealth.OK
--- a/src/main/kotlin/flaxfield/gangs/GangCandidates.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangCandidates.kt
@@ -39,7 +39,7 @@
     fun countFreeTasks(shapes: List<JobSpec>): Int {
         var count = 0
         for (machine in context.view.machines.values) {
-            if (!machine.takesWork || !acceptsPlacements(machine)) continue
+            if (!machine.isSchedulable || !acceptsPlacements(machine)) continue
             val free = context.view.free(machine) ?: continue
             count += shapes.filter { TopologyConstraint.allowsMachine(it, machine) }
                 .sumOf { free.countFitting(it.taskResources) }
@@ -50,11 +50,11 @@
     /** Those of [machines] that are reserved for a gang and can still run it. */
     fun fromReserved(machines: List<Machine>): List<PlacementCandidate> = machines.mapNotNull { machine ->
         val status = healthyStatus(machine.name) ?: return@mapNotNull null
-        if (machine.takesWork && acceptsPlacements(machine)) candidate(machine, status) else null
+        if (machine.isSchedulable && acceptsPlacements(machine)) candidate(machine, status) else null
     }
 
     private fun openCandidate(machine: Machine): PlacementCandidate? {
-        if (!machine.takesWork ||
+        if (!machine.isSchedulable ||
             context.view.activeReservation(machine) != null ||
             context.transactions.isWritePending(StoreKeys.MACHINE + machine.name) ||
             !acceptsPlacements(machine)
--- a/src/main/kotlin/flaxfield/gangs/GangReservations.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangReservations.kt
@@ -134,7 +134,7 @@
         if (usage.remainingTasks(team.name, gang.spec.taskResources) < gang.spec.taskCount) {
             return releaseAndBackOff(gang, machines, GangBackoffReason.TeamQuota)
         }
-        if (team.limited && context.transactions.isWritePending(StoreKeys.QUOTA_FENCE + team.name)) return
+        if (team.hasLimit && context.transactions.isWritePending(StoreKeys.QUOTA_FENCE + team.name)) return
         val attempt = gang.nextGangAttempt()
         val targets = placement.mapValues { (_, candidate) -> candidate.target() }
         val transaction = commitOf(gang, gang.place(targets, attempt), machines, team, term)
@@ -153,7 +153,7 @@
         val changes = ArrayList(base.changes)
         // A reservation is void once its attempt is placed: the machines' records need no write of their own.
         for (machine in machines) conditions[StoreKeys.MACHINE + machine.name] = machine.version
-        if (team.limited) {
+        if (team.hasLimit) {
             val fenceKey = StoreKeys.QUOTA_FENCE + team.name
             conditions[fenceKey] = context.view.version(fenceKey)
             changes += Change.Put(fenceKey, mapOf("job" to gang.id))
--- a/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
@@ -20,7 +20,7 @@
     val guaranteed: Boolean,
     /** The gang's team if it is within that team's guarantee, else empty. */
     val team: String,
-    val isSuspect: Boolean,
+    val isCrashLooping: Boolean,
 )
 
 /**
@@ -43,7 +43,7 @@
     /** Machines that run gangs now. */
     val machinesWithGangs: List<ObservedMachine> by lazy(LazyThreadSafetyMode.NONE) {
         val view = context.view
-        view.machines.values.filter { machine -> machine.takesWork && view.jobsOn(machine.name).any { it.isGang } }
+        view.machines.values.filter { machine -> machine.isSchedulable && view.jobsOn(machine.name).any { it.isGang } }
             .mapNotNull { machine ->
                 val status = view.machineStatus(machine.name)?.takeIf { it.state == MachineHealth.OK }
                 status?.let { ObservedMachine(machine, it) }
@@ -83,7 +83,7 @@
             job.spec.priority,
             isGuaranteed,
             if (isGuaranteed) job.spec.team else "",
-            job.isSuspect,
+            job.isCrashLooping,
         )
     }
 
@@ -106,7 +106,7 @@
     private fun countLeaving(job: Job, isGuaranteed: Boolean, other: Job, machineName: String): Int {
         val view = context.view
         return when {
-            other.cancelled || mayEvict(job, isGuaranteed, other) -> view.countOn(machineName, other.id)
+            other.cancelled || mayEvict(job, isGuaranteed, other) -> view.taskCountOn(machineName, other.id)
             other.id in view.halting -> view.on(machineName).count { it.job.id == other.id && it.placed.stopping }
             else -> 0
         }
--- a/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
+++ b/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
@@ -19,7 +19,7 @@
 
     /** The gang to reserve for: the largest of those submitted before [overdueBeforeMs], the oldest of these. */
     fun selectGang(waiting: Collection<Job>, overdueBeforeMs: Long): Job? = waiting
-        .filter { it.submittedMs < overdueBeforeMs && it.spec.taskCount > 1 && !it.isSuspect }
+        .filter { it.submittedMs < overdueBeforeMs && it.spec.taskCount > 1 && !it.isCrashLooping }
         .minWithOrNull(compareBy({ -it.spec.taskCount }, { it.submittedMs }, { it.id }))
 
     /**
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobSweeper.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobSweeper.kt
@@ -25,7 +25,7 @@
     }
 
     private fun deleteStrayChunks() {
-        val strays = context.view.strayChunks.keys.filter {
+        val strays = context.view.orphanedChunks.keys.filter {
             !context.transactions.isWritePending(StoreKeys.JOB_CHUNK + it)
         }
         if (strays.isEmpty()) return
--- a/src/main/kotlin/flaxfield/jobs/Job.kt
+++ b/src/main/kotlin/flaxfield/jobs/Job.kt
@@ -29,19 +29,19 @@
     val isOver: Boolean get() = complete || (cancelled && placedCount == 0)
 
     /** Whether any task of it has ever been placed. */
-    val hasBegun: Boolean get() = chunks.values.any { it.next > 1L }
+    val wasPlaced: Boolean get() = chunks.values.any { it.next > 1L }
     val isGang: Boolean get() = spec.jobKind == JobKind.GANG
 
     /**
      * Whether it was most likely submitted with a mistake: it failed on several machines, more often than tasks of it
      * are on others now, and no task has completed. It is retried without end, after all other jobs.
      */
-    val isSuspect: Boolean get() = failedMachines.size >= TaskEventRules.MIN_FAILED_MACHINES_OF_FAULTY_JOB &&
+    val isCrashLooping: Boolean get() = failedMachines.size >= TaskEventRules.MIN_FAILED_MACHINES_OF_FAULTY_JOB &&
         doneCount == 0 &&
         placedCount < failureCount
 
-    /** Whether it comes after all others: it [isSuspect], and its retry is not overdue since [overdueBeforeMs]. */
-    fun isDeprioritized(overdueBeforeMs: Long): Boolean = isSuspect && retryAtMs >= overdueBeforeMs
+    /** Whether it comes after all others: it [isCrashLooping], and its retry is not overdue since [overdueBeforeMs]. */
+    fun isDeprioritized(overdueBeforeMs: Long): Boolean = isCrashLooping && retryAtMs >= overdueBeforeMs
 
     /** The chunk with the task at [index]. */
     fun chunk(index: Int): JobChunk = chunks[index / chunkTasks] ?: JobChunk.empty()
--- a/src/main/kotlin/flaxfield/jobs/JobTransactions.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobTransactions.kt
@@ -90,7 +90,7 @@
      * machines: no drain proceeds on a view without it.
      */
     fun withLossMark(context: ControllerContext, transaction: Transaction): Transaction {
-        val mark = context.subsystem?.lossMark() ?: return transaction
+        val mark = context.subsystem?.lossRecord() ?: return transaction
         return transaction.copy(changes = transaction.changes + mark)
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/StarvationTracker.kt
+++ b/src/main/kotlin/flaxfield/jobs/StarvationTracker.kt
@@ -37,7 +37,7 @@
 
     /** Whether [job] has waited so long that no reservation counts against it; never if it seems to be a mistake. */
     fun isStarved(job: Job, nowMs: Long): Boolean {
-        if (job.isSuspect || job.placedCount > 0) return false
+        if (job.isCrashLooping || job.placedCount > 0) return false
         val sinceMs = waitingSinceMs[job.id] ?: return false
         return nowMs - sinceMs > MAX_WAIT_S * STARVED_SHARE * MILLIS_PER_SECOND
     }
--- a/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
@@ -111,7 +111,7 @@
 
     /** Ends of an array's tasks gather for a while, unless writes are plenty: several of them are one write. */
     private fun hasGathered(jobEvents: PendingEvents, someTaskIsPending: () -> Boolean): Boolean {
-        if (context.transactions.budget.ample(context.nowNs)) return true
+        if (context.transactions.budget.hasAmpleWrites(context.nowNs)) return true
         val heartbeats = if (someTaskIsPending()) GATHER_HEARTBEATS_IF_PENDING else GATHER_HEARTBEATS
         val waitNs = (context.settings.workers.heartbeatIntervalS * heartbeats * NANOS_PER_SECOND).toLong()
         val dueNs = jobEvents.sinceNs + waitNs
--- a/src/main/kotlin/flaxfield/membership/ShardAssignment.kt
+++ b/src/main/kotlin/flaxfield/membership/ShardAssignment.kt
@@ -6,7 +6,7 @@
  */
 data class ShardAssignment(val leader: Member, val members: List<Member>, val term: ULong) {
     /** Whether [member] is one of the members, in this very run. */
-    fun has(member: Member): Boolean = members.any { it.isSameProcess(member) }
+    fun contains(member: Member): Boolean = members.any { it.isSameProcess(member) }
 
     /**
      * The member whose shard [machineName] belongs to, by rendezvous hashing; null without members.
--- a/src/main/kotlin/flaxfield/operator/JobExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/JobExplainer.kt
@@ -51,7 +51,7 @@
             job.pendingCount == 0 -> JobReason("placed", "all tasks that are not done are on machines")
             job.isGang && job.placedCount > 0 ->
                 JobReason("gang_leaving", "${job.placedCount} tasks of the last attempt are still on machines")
-            job.isSuspect -> JobReason(
+            job.isCrashLooping -> JobReason(
                 "fails_everywhere",
                 "${job.failureCount} failures on ${job.failedMachines.size} machines: tried again now and then",
             )
--- a/src/main/kotlin/flaxfield/quota/JobOrder.kt
+++ b/src/main/kotlin/flaxfield/quota/JobOrder.kt
@@ -89,7 +89,7 @@
      * team's guarantee against a team that exceeds its own. A job that repeatedly fails preempts nobody.
      */
     fun mayPreempt(job: Job, jobGuaranteed: Boolean, other: Job, usage: TeamUsage): Boolean {
-        if (job.isSuspect) return false
+        if (job.isCrashLooping) return false
         if (job.spec.priority > other.spec.priority) return true
         return jobGuaranteed && other.spec.team != job.spec.team && usage.exceedsGuarantee(other.spec.team)
     }
--- a/src/main/kotlin/flaxfield/settings/Settings.kt
+++ b/src/main/kotlin/flaxfield/settings/Settings.kt
@@ -12,7 +12,7 @@
 /** A team's guaranteed capacity and its limit; 0 means none. */
 data class Team(val name: String, val cpus: Double, val cpusMax: Double, val gpus: Double, val gpusMax: Double) {
     /** Whether the team has a limit. */
-    val limited: Boolean get() = cpusMax > 0.0 || gpusMax > 0.0
+    val hasLimit: Boolean get() = cpusMax > 0.0 || gpusMax > 0.0
 }
 
 /** A service-level objective: [share] of the jobs of [jobClass] start or finish within [withinS]. */
--- a/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
+++ b/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
@@ -65,7 +65,7 @@
     }
 
     private fun zoneOf(machineName: String): String? =
-        context.view.machines[machineName]?.zone ?: workerHealth.known(machineName)?.heartbeat?.zone
+        context.view.machines[machineName]?.zone ?: workerHealth.workerStateOrNull(machineName)?.heartbeat?.zone
 
     private fun haltOn(machineName: String, term: ULong, mayAct: Boolean) {
         val workerState = workerHealth.workerState(machineName)
--- a/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
@@ -66,7 +66,7 @@
      */
     private fun answerWithoutTerm(heartbeat: Heartbeat, responder: Responder) {
         val viewIsBehind = context.view.assignment?.let { heartbeat.fencingToken > it.term } ?: false
-        val storeIsSilent = context.storeContact.isSilent(context.settings.workers.leaseS)
+        val storeIsSilent = context.storeContact.isUnreachable(context.settings.workers.leaseS)
         if (!viewIsBehind && (storeIsSilent || leaderIsGone()) && responses.mayRenew()) {
             return responses.renewWithoutDecision(heartbeat, heartbeat.fencingToken, responder)
         }
--- a/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
@@ -17,7 +17,7 @@
      * How many task records a machine may have. A heartbeat lists as many tasks again that have ended and are not
      * cleared yet, some 70 bytes each, and a message must fit 64 KiB: a larger one is lost, and the lease with it.
      */
-    const val MAX_TASKS = 300
+    const val MAX_TASKS_PER_MACHINE = 300
 
     /**
      * Decides what follows from [heartbeat].
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -51,7 +51,7 @@
      * their owners.
      */
     fun zoneCoverage(): Map<String, ZoneCoverage> {
-        val windowNs = (context.settings.workers.leaseS * ZoneTimes.SILENT_LEASES * NANOS_PER_SECOND).toLong()
+        val windowNs = (context.settings.workers.leaseS * ZoneTimes.HEARTBEAT_TIMEOUT_LEASES * NANOS_PER_SECOND).toLong()
         val sinceNs = context.nowNs - windowNs
         val ownsLongEnough = ownerSinceNs <= sinceNs
         val own = countReporting(sinceNs).mapValues { (_, count) ->
@@ -137,7 +137,7 @@
         context.view.machines[machineName]?.zone ?: workerStates[machineName]?.heartbeat?.zone.orEmpty()
 
     /** What is known of a machine that has been heard of, or null. */
-    fun known(machineName: String): WorkerState? = workerStates[machineName]
+    fun workerStateOrNull(machineName: String): WorkerState? = workerStates[machineName]
 
     /**
      * What is known of a machine; at first what its earlier owners' shard summaries list. Without that, a failover
--- a/src/main/kotlin/flaxfield/zones/RecoveryOrder.kt
+++ b/src/main/kotlin/flaxfield/zones/RecoveryOrder.kt
@@ -45,7 +45,7 @@
         tier: (Job) -> Int,
     ): List<Job> {
         val projectedUsage = usage.copy()
-        val byAge = compareBy<Job>({ if (it.hasBegun) maxOf(it.submittedMs, lossMs) else it.submittedMs }, { it.id })
+        val byAge = compareBy<Job>({ if (it.wasPlaced) maxOf(it.submittedMs, lossMs) else it.submittedMs }, { it.id })
         val groups = jobs.groupBy { rank(it, guaranteed, overdueBeforeMs, tier) }.toSortedMap(RANK_ORDER)
         return groups.values.flatMap { interleaveTeams(it, projectedUsage, byAge) }
     }
--- a/src/main/kotlin/flaxfield/zones/TeamShareCalculator.kt
+++ b/src/main/kotlin/flaxfield/zones/TeamShareCalculator.kt
@@ -16,14 +16,14 @@
     private val rules: ZoneRules,
 ) {
     private val reachable = snapshot.machines.values.filter { machine ->
-        machine.takesWork &&
+        machine.isSchedulable &&
             snapshot.zones[machine.zone]?.isClosed != true &&
             snapshot.machineStatuses[machine.name]?.state == MachineHealth.OK
     }.associateBy { it.name }
 
     /** The shares of all teams that have unfinished jobs, by team name. */
     fun shares(): List<TeamShare> {
-        val jobs = snapshot.jobs.values.filter { !it.cancelled && !it.isSuspect }
+        val jobs = snapshot.jobs.values.filter { !it.cancelled && !it.isCrashLooping }
         var left = reachable.values.fold(Capacity.NONE) { sum, machine -> sum + total(machine.machineType) }
         val targets = sortedMapOf<String, Capacity>()
         for ((_, tierJobs) in jobs.groupBy { rules.tier(it.spec) }.toSortedMap()) {
--- a/src/test/kotlin/flaxfield/arrays/ShortTaskPolicyTest.kt
+++ b/src/test/kotlin/flaxfield/arrays/ShortTaskPolicyTest.kt
@@ -22,7 +22,7 @@
         )
         assertEquals(
             1159,
-            ShortTaskPolicy.placesToProvision(
+            ShortTaskPolicy.slotsToProvision(
                 spec(25_000, 4.0),
                 pending = 24_000,
                 placed = 300,
@@ -32,7 +32,7 @@
         )
         assertEquals(
             0,
-            ShortTaskPolicy.placesToProvision(
+            ShortTaskPolicy.slotsToProvision(
                 spec(25_000, 4.0),
                 pending = 24_000,
                 placed = 1_500,
@@ -42,7 +42,7 @@
         )
         assertEquals(
             20,
-            ShortTaskPolicy.placesToProvision(
+            ShortTaskPolicy.slotsToProvision(
                 spec(100, 60.0),
                 pending = 20,
                 placed = 80,
--- a/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainPlannerTest.kt
@@ -205,7 +205,7 @@
 
     @Test
     fun `counts, cordons, retires and uncordons machines`() {
-        val machines = listOf(machine("h-1", null), machine("h-2", null), machine("h-3", null).copy(sinceMs = 50))
+        val machines = listOf(machine("h-1", null), machine("h-2", null), machine("h-3", null).copy(rentedMs = 50))
         fun actions(d: DrainRecord, m: List<Machine> = machines) = DrainPlanner(snapshot(emptyList(), m, listOf(d))).plan().actions
         // A machine that was rented after the order does not match.
         assertEquals(2, (actions(drain("d-1", target = null, cordoned = 0)).single() as DrainAction.SetTarget).target)
--- a/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
@@ -212,7 +212,7 @@
         scenario.at(51.0) { scenario.order(DrainOrder.Cancel("d-1"), 2) }
         scenario.run(62.0)
         assertEquals("cancelled", scenario.phase("d-1"))
-        val cordoned = scenario.snapshot().machines.values.filter { it.cordon != null && it.takesWork }
+        val cordoned = scenario.snapshot().machines.values.filter { it.cordon != null && it.isSchedulable }
         assertEquals(emptyList<Any>(), cordoned)
         scenario.at(1.0) { scenario.order(DrainOrder.Start("d-2", zoneA), 0) }
         scenario.run(END_S)
--- a/src/test/kotlin/flaxfield/golden/CloudProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/CloudProtocol.kt
@@ -52,8 +52,8 @@
             ::rent,
         ),
         answer("no-capacity", UNAVAILABLE, mapOf("error" to "no capacity"), RentalResponse.NoCapacity, ::rent),
-        answer("unavailable", UNAVAILABLE, mapOf("error" to "later"), RentalResponse.Unclear, ::rent),
-        answer("malformed", BAD, mapOf("error" to "how_many"), RentalResponse.Malformed, ::rent),
+        answer("unavailable", UNAVAILABLE, mapOf("error" to "later"), RentalResponse.Unknown, ::rent),
+        answer("malformed", BAD, mapOf("error" to "how_many"), RentalResponse.Rejected, ::rent),
         answer("listed", OK, sentPage, readPage) { client, done -> client.listMachines(null) { done(it) } },
         answer("returned", OK, emptyMap(), true) { client, done -> client.returnMachines(listOf("host-1"), done) },
     )
--- a/src/test/kotlin/flaxfield/jobs/JobTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/JobTest.kt
@@ -47,7 +47,7 @@
             failed(job.on(0 to "a", 1 to "b"), 2, 2) to false,
             failed(job.on(0 to "a").finish(listOf(0)), 2, 9) to false,
         )
-        for ((sample, want) in table) assertEquals(want, sample.isSuspect, "$sample")
+        for ((sample, want) in table) assertEquals(want, sample.isCrashLooping, "$sample")
         // All other jobs come first; but if its retry is long overdue, it is scheduled as any other.
         assertTrue(failed(job, 2, 2).copy(retryAtMs = 500).isDeprioritized(overdueBeforeMs = 400))
         assertFalse(failed(job, 2, 2).copy(retryAtMs = 300).isDeprioritized(overdueBeforeMs = 400))
