--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -6,7 +6,7 @@
 import flaxfield.jobs.TaskId
 
 /** Why a task counts as unavailable. */
-enum class Absence {
+enum class UnavailabilityReason {
     /** It was evicted by a drain and is not yet proven to run again. */
     DRAINED,
 
@@ -29,7 +29,7 @@
     /** The capacity that may be unavailable at once: the team's disruption budget. */
     val allowed: Capacity,
     /** The number of unavailable tasks by reason. */
-    val absences: Map<Absence, Int>,
+    val unavailableTasks: Map<UnavailabilityReason, Int>,
 ) {
     /** Returns whether the budget allows [cost] to be disrupted in addition to [unavailable]. */
     fun permits(cost: Capacity): Boolean = (unavailable + cost).within(allowed)
@@ -43,7 +43,7 @@
     private class Totals {
         var expected = Capacity.NONE
         var unavailable = Capacity.NONE
-        val absences = HashMap<Absence, Int>()
+        val unavailableTasks = HashMap<UnavailabilityReason, Int>()
     }
 
     /** The availability of each team with a job that counts towards its budget. */
@@ -54,15 +54,15 @@
         ?: TeamAvailability(Capacity.NONE, Capacity.NONE, policy.allowed(team, Capacity.NONE), emptyMap())
 
     /** Returns why a task is unavailable; null if it is available, is done or does not count. */
-    fun unavailabilityReason(job: Job, index: Int): Absence? {
+    fun unavailabilityReason(job: Job, index: Int): UnavailabilityReason? {
         val placed = job.placed(index)
         val isDrained = snapshot.ledgers[job.spec.team]?.entries?.containsKey(TaskId(job.id, index)) ?: false
         return when {
             !countsTowardsBudget(job) || job.isDone(index) -> null
-            isDrained -> Absence.DRAINED
-            placed != null && placed.stopping -> Absence.STOPPING
-            job.isInterrupted(index) -> Absence.LOST
-            placed != null && isUnreachable(placed) -> Absence.SILENT
+            isDrained -> UnavailabilityReason.DRAINED
+            placed != null && placed.stopping -> UnavailabilityReason.STOPPING
+            job.isInterrupted(index) -> UnavailabilityReason.LOST
+            placed != null && isUnreachable(placed) -> UnavailabilityReason.SILENT
             else -> null
         }
     }
@@ -77,7 +77,7 @@
         }
         return totals.mapValues { (team, total) ->
             val allowed = policy.allowed(team, total.expected)
-            TeamAvailability(total.expected, total.unavailable, allowed, total.absences)
+            TeamAvailability(total.expected, total.unavailable, allowed, total.unavailableTasks)
         }
     }
 
@@ -87,7 +87,7 @@
         var unavailableCount = 0
         for (index in tasks) {
             val reason = unavailabilityReason(job, index) ?: continue
-            totals.absences.merge(reason, 1, Int::plus)
+            totals.unavailableTasks.merge(reason, 1, Int::plus)
             unavailableCount++
         }
         val perTask = Capacity.of(job.spec)
--- a/src/main/kotlin/flaxfield/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/flaxfield/drain/DisruptionBudgets.kt
@@ -8,7 +8,7 @@
     fun of(team: String): TeamAvailability = availability.of(team)
 
     /** Returns whether the class of the unit's job allows its tasks to be stopped and restarted. */
-    fun allowsRestart(unit: DisruptionUnit): Boolean = policy.repeat(unit.job.spec.jobClass).allows(unit.job.spec)
+    fun allowsRestart(unit: DisruptionUnit): Boolean = policy.repeatPolicy(unit.job.spec.jobClass).allows(unit.job.spec)
 
     /** Returns whether the unit would fit its team's budget if nothing else were unavailable. */
     fun fitsWholeBudget(unit: DisruptionUnit): Boolean = of(unit.team).fitsWholeBudget(unit.capacity)
--- a/src/main/kotlin/flaxfield/drain/FleetControl.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetControl.kt
@@ -48,7 +48,7 @@
     /** Records an operator's order to abandon the tasks of [jobClass] in the lost [zone]; see [order]. */
     fun abandon(zone: String, jobClass: String, done: (OrderResult<AbandonOrder>) -> Unit) {
         if (!publisher.isComplete) return done(VIEW_INCOMPLETE)
-        abandonOrders.take(zone, jobClass, publisher.current, done)
+        abandonOrders.submit(zone, jobClass, publisher.current, done)
     }
 
     /** Replaces the fleet file that this controller publishes. Any thread may call it. */
--- a/src/main/kotlin/flaxfield/drain/FleetPolicy.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetPolicy.kt
@@ -26,7 +26,7 @@
         configs.map { (it.budgets[team] ?: it.defaultBudget).allowed(expected) }.reduce(Capacity::min)
 
     /** Returns whether running tasks of [jobClass] may be stopped and restarted. */
-    fun repeat(jobClass: String): RepeatPolicy = configs.minOf { it.classes[jobClass] ?: it.defaultRepeat }
+    fun repeatPolicy(jobClass: String): RepeatPolicy = configs.minOf { it.classes[jobClass] ?: it.defaultRepeat }
 
     /** Returns the recovery tier of [jobClass] after the loss of a zone; null if no file names the class. */
     fun recoveryTier(jobClass: String): Int? = configs.mapNotNull { it.recoveryTiers[jobClass] }.minOrNull()
--- a/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/RestoreReconciler.kt
@@ -52,7 +52,12 @@
             job.isInterrupted(placement.index) || disruption != null && placement.attempt > disruption.attempt
         return isUnavailable &&
             !placement.stopping &&
-            RunningTaskProof.isGivenBy(health.workerStateOrNull(placement.machineName)?.heartbeat, job.id, placement, term)
+            RunningTaskProof.isGivenBy(
+                health.workerStateOrNull(placement.machineName)?.heartbeat,
+                job.id,
+                placement,
+                term,
+            )
     }
 
     /** Returns the [tasks] whose chunks fit one transaction; the others follow in later runs. */
--- a/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
+++ b/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
@@ -18,7 +18,7 @@
     /**
      * Validates an order for [jobClass] in [zone] against [snapshot] and records it. Calls [done] on the owner thread.
      */
-    fun take(zone: String, jobClass: String, snapshot: FleetSnapshot, done: (OrderResult<AbandonOrder>) -> Unit) {
+    fun submit(zone: String, jobClass: String, snapshot: FleetSnapshot, done: (OrderResult<AbandonOrder>) -> Unit) {
         val record = snapshot.zones[zone]
         if (record == null || record.incarnation == 0L) {
             return done(OrderResult.Refused(OrderFault.CONFLICT, "zone $zone has not been lost"))
