--- a/src/test/kotlin/flaxfield/golden/Transactions.kt
+++ b/src/test/kotlin/flaxfield/golden/Transactions.kt
@@ -20,7 +20,7 @@
     private val gang = Samples.job(Samples.spec(jobKind = JobKind.GANG, taskCount = 12)).on(0 to "host-1", 9 to "host-2")
     private const val TERM = StoredSamples.VERSION
 
-    private val writes = listOf(
+    private val updateTransactions = listOf(
         transaction("write-array-chunk") { JobTransactions.update(array, array.finish(listOf(9)), TERM) },
         transaction("write-array-head") {
             JobTransactions.update(array, array.copy(failureCount = 1, retryAtMs = 5).free(listOf(0)), TERM)
@@ -31,7 +31,7 @@
         transaction("write-gang") { JobTransactions.update(gang, gang.stop(listOf(0, 9)), TERM) },
     )
 
-    private val closes = listOf(
+    private val closeTransactions = listOf(
         transaction("close-array") { close(array.finish((0 until 20).toList()), aborted = false, fenced = true) },
         transaction("close-gang") { close(gang.copy(cancelledMs = 9), aborted = true, fenced = true) },
         transaction("close-unfenced") { close(gang, aborted = true, fenced = false) },
@@ -59,5 +59,5 @@
         transport.text
     }
 
-    val suite = GoldenSuite("transactions", writes + closes + lossRecords)
+    val suite = GoldenSuite("transactions", updateTransactions + closeTransactions + lossRecords)
 }
