--- a/src/test/kotlin/flaxfield/golden/SampleController.kt
+++ b/src/test/kotlin/flaxfield/golden/SampleController.kt
@@ -18,9 +18,9 @@
  */
 class SampleController(transport: HttpTransport = HttpTransport { _, _, _, _, _ -> }) {
     private val clock = object : Clock {
-        override fun steadyNs() = STEADY_NS
+        override fun monotonicNs() = STEADY_NS
 
-        override fun dayMs() = StoredSamples.TIME_MS
+        override fun wallClockMs() = StoredSamples.TIME_MS
     }
     private val replica = ClusterReplica()
     val view = replica.view
@@ -41,7 +41,7 @@
     fun assign() {
         put(StoreKeys.ASSIGNMENT, MemberCodec.encode(StoredSamples.member, StoredSamples.assignment.members))
         context.storeContact.noteResponse()
-        context.viewFreshness.read(clock.steadyNs(), 1uL)
+        context.viewFreshness.read(clock.monotonicNs(), 1uL)
         context.viewFreshness.reached(1uL)
     }
 
--- a/src/test/kotlin/flaxfield/golden/Transactions.kt
+++ b/src/test/kotlin/flaxfield/golden/Transactions.kt
@@ -50,7 +50,7 @@
     private val lossRecords = transaction("loss-records") {
         val context = SampleController().context
         val control = FleetControl(SubsystemParts(context, WorkerHealth(context)), StoredSamples.config)
-        Transaction(emptyMap(), listOf(control.lossMark(), control.lossMark()))
+        Transaction(emptyMap(), listOf(control.lossRecord(), control.lossRecord()))
     }
 
     private fun transaction(name: String, build: () -> Transaction) = textOnly("$name.encode-only.txt") {
