--- a/src/main/kotlin/flaxfield/cli/ClassDataArchive.kt
+++ b/src/main/kotlin/flaxfield/cli/ClassDataArchive.kt
@@ -1,14 +1,14 @@
 package flaxfield.cli
 
-/** Whether the JVM runs with a class-data archive. Without one it works, but its start takes three times as long. */
+/** Checks whether the JVM uses a class-data archive (CDS). Without one, startup takes three times as long. */
 object ClassDataArchive {
-    /** Part of `java.vm.info` if an archive is in use; the JVM silently ignores a stale or missing one. */
+    /** An item of `java.vm.info` if an archive is in use; the JVM ignores a stale or missing one without a message. */
     private const val IN_USE = "sharing"
 
-    /** A warning that no archive is in use, by the value of `java.vm.info`; null if one is. */
+    /** Returns a warning if [vmInfo], the value of `java.vm.info`, shows that no archive is in use; null otherwise. */
     fun warning(vmInfo: String?): String? {
         if (vmInfo?.split(", ")?.contains(IN_USE) == true) return null
-        return "no class-data archive in use (missing, or made by another build or JVM): " +
-            "starts take longer; build again to make one"
+        return "the class-data archive is missing, or was created by another build or JVM: " +
+            "startup takes longer until the project is rebuilt"
     }
 }
--- a/src/main/kotlin/flaxfield/cli/Main.kt
+++ b/src/main/kotlin/flaxfield/cli/Main.kt
@@ -12,18 +12,18 @@
 import kotlin.system.exitProcess
 
 private const val EXIT_USAGE = 2
-private const val EXIT_FAULT = 3
+private const val EXIT_INTERNAL_ERROR = 3
 
-/** The first words of the operators' commands, which are in a jar of their own. */
+/** The names of the operators' commands, which are in a separate jar. */
 private val OPERATOR_COMMANDS = setOf("drain", "budget", "machines", "explain", "zone")
 
-/** The values of `LOG_LEVEL`; any other counts as `info`. */
+/** The valid values of `LOG_LEVEL`; any other value means `info`. */
 private val LOG_LEVELS = setOf("error", "info", "debug")
 
 /** Runs an operator's command or the service. */
 fun main(args: Array<String>) {
-    // Looked at first, so that a start of the service loads nothing of them.
-    if (args.firstOrNull() in OPERATOR_COMMANDS) exitProcess(OperatorJar.entry().command(args))
+    // Checked first, so that starting the service loads no classes of the operators' commands.
+    if (args.firstOrNull() in OPERATOR_COMMANDS) exitProcess(OperatorJar.loadEntryPoint().command(args))
     configureLogs(System.getenv("LOG_LEVEL"))
     val parsed = try {
         commandLine().parseArgs(*args)
@@ -37,13 +37,13 @@
     } catch (e: MalformedException) {
         fail(e.message ?: "bad settings")
     } catch (fault: Throwable) {
-        // The owner thread has ended: a process that only answers from the network would be worse than none.
+        // The owner thread has terminated: the network threads would go on accepting requests that nothing executes.
         System.err.println("flaxfield: ended by $fault")
-        Runtime.getRuntime().halt(EXIT_FAULT)
+        Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR)
     }
 }
 
-/** Runs one controller with the files that [options] name, until the process ends. */
+/** Runs a controller with the files given in [options] until the process is terminated. */
 private fun serve(options: ParseResult): Nothing {
     val settings = Settings.load(options.matchedOptionValue("--config", ""))
     val properties: String? = options.matchedOptionValue("--properties", null)
@@ -52,27 +52,27 @@
         LoggerFactory.getLogger("flaxfield.cli").warn("event=class_data_archive_unused reason=\"{}\"", it)
     }
     val fleet: String? = options.matchedOptionValue("--fleet", null)
-    if (fleet != null) OperatorJar.entry().serve(settings, operator, incarnation(), fleet)
-    ControllerProcess(settings, operator, incarnation()).serve()
+    if (fleet != null) OperatorJar.loadEntryPoint().serve(settings, operator, newIncarnation(), fleet)
+    ControllerProcess(settings, operator, newIncarnation()).serve()
 }
 
 /**
- * A text that no other incarnation of this controller has: the time of its start and a random number. Compared within
- * the controller's name only. Not a secret, so not from a secure generator, which takes 15 ms of a core to load.
+ * Returns an identifier that is unique among the incarnations of this controller: its start time and a random number.
+ * It is not a secret, so a secure random generator, which takes 15 ms of CPU time to load, is not needed.
  */
-private fun incarnation(): String = System.currentTimeMillis().toString(Character.MAX_RADIX) +
+private fun newIncarnation(): String = System.currentTimeMillis().toString(Character.MAX_RADIX) +
     ThreadLocalRandom.current().nextInt(Int.MAX_VALUE).toString(Character.MAX_RADIX)
 
 private fun configureLogs(level: String?) {
-    val known = if (level != null && level in LOG_LEVELS) level else "info"
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known)
+    val effectiveLevel = if (level != null && level in LOG_LEVELS) level else "info"
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", effectiveLevel)
     System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error")
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false")
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true")
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS")
 }
 
-/** Ends the process with the first line of [message]. */
+/** Terminates the process after printing the first line of [message]. */
 private fun fail(message: String): Nothing {
     System.err.println("flaxfield: " + message.lineSequence().first())
     exitProcess(EXIT_USAGE)
--- a/src/main/kotlin/flaxfield/cli/ServeCommand.kt
+++ b/src/main/kotlin/flaxfield/cli/ServeCommand.kt
@@ -6,11 +6,11 @@
 
 private const val VERSION = "flaxfield 0.1.0"
 
-/** The command line of the service. Built by hand, since annotations would cost reflection at each start. */
+/** Creates the command line of the service. Built without annotations, which would cost reflection at each start. */
 fun commandLine(): CommandLine {
     val root = CommandSpec.create().name("flaxfield").version(VERSION)
-    root.usageMessage().description("A cluster scheduler that places gangs all-or-nothing and arrays by parts.")
-    root.usageMessage().footer("Operators' commands, each with its own --help: drain, budget, machines, explain, zone.")
+    root.usageMessage().description("A cluster scheduler that places gangs all-or-nothing and arrays incrementally.")
+    root.usageMessage().footer("Operator commands (see --help of each): drain, budget, machines, explain, zone.")
     root.addStandardOptions()
     root.addSubcommand("serve", serveCommand())
     return CommandLine(root)
@@ -18,12 +18,12 @@
 
 private fun serveCommand(): CommandSpec {
     val serve = CommandSpec.create().name("serve").version(VERSION)
-    serve.usageMessage().description("Runs one controller until it is killed.")
-    serve.addOption(fileOption("--config").required(true).description("the platform's JSON settings file").build())
-    serve.addOption(fileOption("--properties").description("the operators' own settings").build())
+    serve.usageMessage().description("Runs a controller until it is terminated.")
+    serve.addOption(fileOption("--config").required(true).description("the JSON settings file of the platform").build())
+    serve.addOption(fileOption("--properties").description("the properties file with the operators' settings").build())
     serve.addOption(
         fileOption("--fleet")
-            .description("the operators' fleet file: budgets, repeat policies and where operators are served")
+            .description("the fleet file: disruption budgets, restart policies and the address of the operator service")
             .build(),
     )
     serve.addStandardOptions()
@@ -33,7 +33,10 @@
 private fun fileOption(name: String): OptionSpec.Builder =
     OptionSpec.builder(name).paramLabel("FILE").type(String::class.java)
 
-/** picocli's own mixin for these is read from annotations, which took a quarter of a start's processor time. */
+/**
+ * Adds `--help` and `--version`. picocli's standard mixin for them is read from annotations, which took a quarter of
+ * the CPU time of a start.
+ */
 private fun CommandSpec.addStandardOptions() {
     addOption(
         OptionSpec.builder("-h", "--help")
--- a/src/main/kotlin/flaxfield/client/BudgetCommand.kt
+++ b/src/main/kotlin/flaxfield/client/BudgetCommand.kt
@@ -3,26 +3,26 @@
 import picocli.CommandLine.Command
 import picocli.CommandLine.Parameters
 
-/** `budget`: shows the teams' disruption budgets; see docs/operating-drains.md. */
+/** Shows the teams' disruption budgets; see docs/operating-drains.md. */
 @Command(
     name = "budget",
-    description = ["Tells what teams may lack and what they do lack."],
+    description = ["Shows the teams' disruption budgets and how much of them is used."],
     mixinStandardHelpOptions = true,
     subcommands = [BudgetList::class, BudgetShow::class],
 )
 internal class BudgetCommand
 
-@Command(name = "list", description = ["Lists the budgets of all teams."], mixinStandardHelpOptions = true)
+@Command(name = "list", description = ["Lists the disruption budgets of all teams."], mixinStandardHelpOptions = true)
 private class BudgetList : ControllerCommand() {
     override fun run(client: OperatorClient): ExitCode {
-        Output.budgets(client.call { it.listBudgets(options.read()) }, options.output)
+        Output.budgets(client.call { it.listBudgets(options.readRequest()) }, options.output)
         return ExitCode.OK
     }
 }
 
 @Command(
     name = "show",
-    description = ["Shows one team's budget, and by whom it is spent."],
+    description = ["Shows a team's disruption budget and what uses it."],
     mixinStandardHelpOptions = true,
 )
 private class BudgetShow : ControllerCommand() {
@@ -30,7 +30,7 @@
     lateinit var team: String
 
     override fun run(client: OperatorClient): ExitCode {
-        Output.budget(client.call { it.showBudget(options.show(team)) }, options.output)
+        Output.budget(client.call { it.showBudget(options.showRequest(team)) }, options.output)
         return ExitCode.OK
     }
 }
--- a/src/main/kotlin/flaxfield/client/OperatorClient.kt
+++ b/src/main/kotlin/flaxfield/client/OperatorClient.kt
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Asks the controllers at the given endpoints one after another until one answers, for [timeoutS][OperatorClient] in
- * all. Orders are idempotent, so that the next controller may be asked whatever became of the last one's answer.
+ * A client of the operators' service. Tries the controllers at the given endpoints in order until one answers, within
+ * [timeoutS][OperatorClient] in total. Orders are idempotent, so a request whose outcome is unknown is safe to repeat.
  */
 class OperatorClient(endpoints: List<String>, timeoutS: Double) : AutoCloseable {
     private class Endpoint(val name: String, val channel: ManagedChannel)
@@ -26,7 +26,7 @@
         val address = try {
             Address.parse(endpoint)
         } catch (e: MalformedException) {
-            throw ClientFault(ExitCode.USAGE, "--endpoint: ${e.message}", e)
+            throw ClientException(ExitCode.USAGE, "--endpoint: ${e.message}", e)
         }
         return NettyChannelBuilder
             .forAddress(address.host, address.port)
@@ -35,28 +35,28 @@
             .build()
     }
 
-    /** The answer of the first controller that gives one; throws [ClientFault] if none does. */
+    /** Returns the answer of the first controller that gives one; throws [ClientException] if none does. */
     fun <T> call(request: (OperatorBlockingStub) -> T): T {
-        var worst: ClientFault? = null
+        var worst: ClientException? = null
         for ((position, endpoint) in endpoints.withIndex()) {
-            val leftNs = deadlineNs - System.nanoTime()
-            if (leftNs <= 0) break
-            // An endpoint that does not respond must leave time for those after it.
-            val shareNs = leftNs / (endpoints.size - position)
+            val remainingNs = deadlineNs - System.nanoTime()
+            if (remainingNs <= 0) break
+            // Divides the remaining time, so that an endpoint that does not respond leaves time for those after it.
+            val attemptTimeoutNs = remainingNs / (endpoints.size - position)
             val stub = OperatorGrpc.newBlockingStub(endpoint.channel)
             try {
-                return request(stub.withDeadlineAfter(shareNs, TimeUnit.NANOSECONDS))
+                return request(stub.withDeadlineAfter(attemptTimeoutNs, TimeUnit.NANOSECONDS))
             } catch (e: StatusRuntimeException) {
-                val fault = fault(endpoint.name, e.status)
-                if (fault.code !in RETRY_ELSEWHERE) throw fault
-                if (worst == null || fault.code.number > worst.code.number) worst = fault
+                val failure = toException(endpoint.name, e.status)
+                if (failure.code !in FAILOVER_CODES) throw failure
+                if (worst == null || failure.code.number > worst.code.number) worst = failure
             }
         }
-        throw worst ?: ClientFault(ExitCode.UNREACHABLE, "no node answered in time")
+        throw worst ?: ClientException(ExitCode.UNREACHABLE, "no controller answered within the timeout")
     }
 
-    /** Polls until an answer is [final][isFinal] or the time is up, and returns the last answer. */
-    fun <T> until(isFinal: (T) -> Boolean, request: (OperatorBlockingStub) -> T): T {
+    /** Polls until an answer is [final][isFinal] or the timeout has elapsed, and returns the last answer. */
+    fun <T> pollUntil(isFinal: (T) -> Boolean, request: (OperatorBlockingStub) -> T): T {
         while (true) {
             val answer = call(request)
             if (isFinal(answer)) return answer
@@ -65,17 +65,17 @@
         }
     }
 
-    private fun fault(endpoint: String, status: Status): ClientFault {
+    private fun toException(endpoint: String, status: Status): ClientException {
         val text = status.cause?.message ?: status.description ?: status.code.name.lowercase()
         return when (status.code) {
-            Status.Code.INVALID_ARGUMENT -> ClientFault(ExitCode.USAGE, text)
-            Status.Code.NOT_FOUND -> ClientFault(ExitCode.NOT_FOUND, text)
-            Status.Code.FAILED_PRECONDITION -> ClientFault(ExitCode.CONFLICT, text)
-            Status.Code.ABORTED, Status.Code.RESOURCE_EXHAUSTED -> ClientFault(ExitCode.NOT_NOW, "$endpoint: $text")
-            Status.Code.UNKNOWN -> ClientFault(ExitCode.UNKNOWN_OUTCOME, "$endpoint: $text")
+            Status.Code.INVALID_ARGUMENT -> ClientException(ExitCode.USAGE, text)
+            Status.Code.NOT_FOUND -> ClientException(ExitCode.NOT_FOUND, text)
+            Status.Code.FAILED_PRECONDITION -> ClientException(ExitCode.CONFLICT, text)
+            Status.Code.ABORTED, Status.Code.RESOURCE_EXHAUSTED -> ClientException(ExitCode.NOT_NOW, "$endpoint: $text")
+            Status.Code.UNKNOWN -> ClientException(ExitCode.UNKNOWN_OUTCOME, "$endpoint: $text")
             Status.Code.UNAVAILABLE, Status.Code.DEADLINE_EXCEEDED ->
-                ClientFault(ExitCode.UNREACHABLE, "$endpoint: $text")
-            else -> ClientFault(ExitCode.INTERNAL, "$endpoint: $text")
+                ClientException(ExitCode.UNREACHABLE, "$endpoint: $text")
+            else -> ClientException(ExitCode.INTERNAL, "$endpoint: $text")
         }
     }
 
@@ -86,10 +86,10 @@
     private companion object {
         const val POLL_INTERVAL_MS = 500L
 
-        /** A list of some 4,000 machines is under 1 MB. */
+        /** Ample: a list of about 4,000 machines takes less than 1 MB. */
         const val MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 
-        /** Failures with which another controller is asked. */
-        val RETRY_ELSEWHERE = setOf(ExitCode.UNREACHABLE, ExitCode.NOT_NOW, ExitCode.UNKNOWN_OUTCOME)
+        /** The failures after which the next controller is tried. */
+        val FAILOVER_CODES = setOf(ExitCode.UNREACHABLE, ExitCode.NOT_NOW, ExitCode.UNKNOWN_OUTCOME)
     }
 }
--- a/src/main/kotlin/flaxfield/client/OperatorCommands.kt
+++ b/src/main/kotlin/flaxfield/client/OperatorCommands.kt
@@ -4,24 +4,24 @@
 import picocli.CommandLine.Command
 
 /**
- * The operators' command line. Each command asks a controller and prints its answer; docs/operating-drains.md says what
- * scripts may rely on.
+ * The operators' command line. Each command sends a request to a controller and prints the answer. The parts that
+ * scripts may rely on are documented in docs/operating-drains.md.
  */
 object OperatorCommands {
-    /** Runs the command that [args] name, and returns the exit code of the process. */
+    /** Runs the command given by [args] and returns the exit code of the process. */
     fun run(args: Array<String>): Int {
         val commandLine = CommandLine(RootCommand())
         commandLine.isCaseInsensitiveEnumValuesAllowed = true
-        commandLine.setParameterExceptionHandler { e, _ -> fail(ClientFault(ExitCode.USAGE, e.message.orEmpty())) }
+        commandLine.setParameterExceptionHandler { e, _ -> fail(ClientException(ExitCode.USAGE, e.message.orEmpty())) }
         commandLine.setExecutionExceptionHandler { e, _, _ ->
-            fail(e as? ClientFault ?: ClientFault(ExitCode.INTERNAL, e.toString()))
+            fail(e as? ClientException ?: ClientException(ExitCode.INTERNAL, e.toString()))
         }
         return commandLine.execute(*args)
     }
 
-    private fun fail(fault: ClientFault): Int {
-        System.err.println("flaxfield: " + fault.message.orEmpty().lineSequence().first())
-        return fault.code.number
+    private fun fail(failure: ClientException): Int {
+        System.err.println("flaxfield: " + failure.message.orEmpty().lineSequence().first())
+        return failure.code.number
     }
 }
 
--- a/src/main/kotlin/flaxfield/client/Output.kt
+++ b/src/main/kotlin/flaxfield/client/Output.kt
@@ -20,24 +20,21 @@
 import flaxfield.operator.v1.MachineList as Machines
 import flaxfield.operator.v1.ZoneList as Zones
 
-/** The formats in which answers are printed. */
-internal enum class OutputForm { TABLE, JSON }
+/** The output formats of answers. */
+internal enum class OutputFormat { TABLE, JSON }
 
-/**
- * Prints answers: as tables for people, or in the JSON form of the contract, whose field names are those of
- * `operator.proto`.
- */
+/** Prints answers either as tables or as JSON with the field names of `operator.proto`. */
 internal object Output {
     private const val PERCENT = 100.0
     private val json = JsonFormat.printer().preservingProtoFieldNames().includingDefaultValueFields()
 
     /** Prints a list of drains. */
-    fun drains(reply: Drains, form: OutputForm) = print(reply, form, reply.revision) {
+    fun drains(reply: Drains, format: OutputFormat) = print(reply, format, reply.revision) {
         drains(reply.drainsList)
     }
 
-    /** Prints one drain, with the reasons why its machines wait. */
-    fun drain(reply: DrainReply, form: OutputForm) = print(reply, form, reply.revision) {
+    /** Prints a drain and the reasons why its machines wait. */
+    fun drain(reply: DrainReply, format: OutputFormat) = print(reply, format, reply.revision) {
         drains(listOf(reply.drain))
         if (reply.drain.note.isNotEmpty()) println(reply.drain.note)
         if (reply.drain.waitsCount > 0) {
@@ -48,35 +45,35 @@
     }
 
     /** Prints the teams' disruption budgets. */
-    fun budgets(reply: Budgets, form: OutputForm) = print(reply, form, reply.revision) {
+    fun budgets(reply: Budgets, format: OutputFormat) = print(reply, format, reply.revision) {
         budgets(reply.budgetsList)
     }
 
-    /** Prints one team's disruption budget. */
-    fun budget(reply: BudgetReply, form: OutputForm) = print(reply, form, reply.revision) {
+    /** Prints a team's disruption budget. */
+    fun budget(reply: BudgetReply, format: OutputFormat) = print(reply, format, reply.revision) {
         budgets(listOf(reply.budget))
     }
 
     /** Prints a list of machines. */
-    fun machines(reply: Machines, form: OutputForm) = print(reply, form, reply.revision) {
+    fun machines(reply: Machines, format: OutputFormat) = print(reply, format, reply.revision) {
         machines(reply.machinesList)
     }
 
     /** Prints why a job is in its state. */
-    fun explanation(reply: JobExplanation, form: OutputForm) = print(reply, form, reply.revision) {
+    fun explanation(reply: JobExplanation, format: OutputFormat) = print(reply, format, reply.revision) {
         printTable("JOB", "TEAM", "STATE", "TASKS", "DONE", "PLACED", "REASON", "DETAIL") {
             row(reply.job, reply.team, reply.state, reply.tasks, reply.done, reply.placed, reply.reason, reply.detail)
         }
     }
 
     /** Prints the zones and the fair shares of teams. */
-    fun zones(reply: Zones, form: OutputForm) = print(reply, form, reply.revision) {
+    fun zones(reply: Zones, format: OutputFormat) = print(reply, format, reply.revision) {
         zones(reply.zonesList)
         shares(reply.sharesList)
     }
 
-    /** Prints one zone and the fair shares of teams. */
-    fun zone(reply: ZoneReply, form: OutputForm) = print(reply, form, reply.revision) {
+    /** Prints a zone and the fair shares of teams. */
+    fun zone(reply: ZoneReply, format: OutputFormat) = print(reply, format, reply.revision) {
         zones(listOf(reply.zone))
         shares(reply.sharesList)
     }
@@ -144,18 +141,18 @@
 
     private fun amount(capacity: Capacity) = "%.1f CPU %.1f acc".format(capacity.cpus, capacity.accelerators)
 
-    private fun printTable(vararg head: String, rows: TableDsl.() -> Unit) {
+    private fun printTable(vararg headings: String, rows: TableDsl.() -> Unit) {
         val table = table {
             cellStyle { paddingRight = 2 }
-            row(*head)
+            row(*headings)
             rows()
         }
         println(table)
     }
 
-    /** Prints [message] as JSON, or with [printTables] followed by the [revision] that the answer is of. */
-    private fun print(message: Message, form: OutputForm, revision: Long, printTables: () -> Unit) {
-        if (form == OutputForm.JSON) return println(json.print(message))
+    /** Prints [message] as JSON, or as tables with [printTables] followed by the [revision] of the answer. */
+    private fun print(message: Message, format: OutputFormat, revision: Long, printTables: () -> Unit) {
+        if (format == OutputFormat.JSON) return println(json.print(message))
         printTables()
         println("revision ${java.lang.Long.toUnsignedString(revision)}")
     }
--- a/src/main/kotlin/flaxfield/client/ZoneCommand.kt
+++ b/src/main/kotlin/flaxfield/client/ZoneCommand.kt
@@ -5,10 +5,10 @@
 import picocli.CommandLine.Option
 import picocli.CommandLine.Parameters
 
-/** `zone`: shows zones and abandons what a lost one held; see docs/operating-zones.md. */
+/** Shows zones and abandons the held tasks of a lost zone; see docs/operating-zones.md. */
 @Command(
     name = "zone",
-    description = ["Tells how zones stand, and gives up on what a lost one held."],
+    description = ["Shows the state of zones, and abandons the held tasks of a lost zone."],
     mixinStandardHelpOptions = true,
     subcommands = [ZoneList::class, ZoneShow::class, ZoneAbandon::class],
 )
@@ -16,23 +16,23 @@
 
 @Command(
     name = "list",
-    description = ["Lists the zones, and how teams stand against their fair parts."],
+    description = ["Lists the zones and compares each team's capacity with its fair share."],
     mixinStandardHelpOptions = true,
 )
 private class ZoneList : ControllerCommand() {
     override fun run(client: OperatorClient): ExitCode {
-        Output.zones(client.call { it.listZones(options.read()) }, options.output)
+        Output.zones(client.call { it.listZones(options.readRequest()) }, options.output)
         return ExitCode.OK
     }
 }
 
-@Command(name = "show", description = ["Shows one zone."], mixinStandardHelpOptions = true)
+@Command(name = "show", description = ["Shows a zone and the teams' fair shares."], mixinStandardHelpOptions = true)
 private class ZoneShow : ControllerCommand() {
     @Parameters(paramLabel = "ZONE")
     lateinit var zone: String
 
     override fun run(client: OperatorClient): ExitCode {
-        Output.zone(client.call { it.showZone(options.show(zone)) }, options.output)
+        Output.zone(client.call { it.showZone(options.showRequest(zone)) }, options.output)
         return ExitCode.OK
     }
 }
@@ -40,8 +40,8 @@
 @Command(
     name = "abandon",
     description = [
-        "Gives up on what a class that forbids repeats had in a zone at its latest loss: its tasks " +
-            "may be started again.",
+        "Abandons the tasks of a job class that were in a zone when it was last lost, so that they may be restarted " +
+            "although the class forbids restarts.",
     ],
     mixinStandardHelpOptions = true,
 )
@@ -53,7 +53,7 @@
         names = ["--class"],
         paramLabel = "CLASS",
         required = true,
-        description = ["the class of jobs that is given up there"],
+        description = ["the job class whose tasks are abandoned"],
     )
     lateinit var jobClass: String
 
--- a/src/main/kotlin/flaxfield/codec/Cbor.kt
+++ b/src/main/kotlin/flaxfield/codec/Cbor.kt
@@ -7,12 +7,12 @@
 import java.math.BigInteger
 
 /**
- * CBOR documents as trees of maps, lists, text, numbers, booleans and null.
+ * Encodes and decodes CBOR documents as trees of maps, lists, strings, numbers, booleans and null.
  *
- * Unsigned 64-bit integers above 2^63-1 are held as [ULong], all other integers as [Long].
+ * Decoded integers above 2^63-1 are represented as [ULong], all others as [Long].
  */
 object Cbor {
-    private const val INITIAL_BYTES = 256
+    private const val INITIAL_BUFFER_BYTES = 256
 
     private val factory: CBORFactory =
         CBORFactory.builder()
@@ -20,16 +20,18 @@
             .enable(CBORGenerator.Feature.WRITE_MINIMAL_INTS)
             .build()
 
-    /** Decodes one CBOR map; throws [MalformedException] if [bytes] are anything else. */
+    /** Decodes a single CBOR map; throws [MalformedException] if [bytes] contain anything else. */
     fun decode(bytes: ByteArray): FieldMap = TreeReader.read(factory.createParser(bytes))
 
-    /** Reads one CBOR map with [read], which must read all of its fields; throws [MalformedException] like [decode]. */
+    /**
+     * Decodes a single CBOR map with [read], which must consume all fields; throws [MalformedException] like [decode].
+     */
     fun <T> read(bytes: ByteArray, read: (MapReader) -> T): T =
         TreeReader.read(factory.createParser(bytes)) { read(MapReader(it)) }
 
-    /** Encodes a map as CBOR. */
+    /** Encodes [map] as CBOR. */
     fun encode(map: Map<String, Any?>): ByteArray {
-        val out = ByteArrayOutputStream(INITIAL_BYTES)
+        val out = ByteArrayOutputStream(INITIAL_BUFFER_BYTES)
         factory.createGenerator(out).use { write(it, map) }
         return out.toByteArray()
     }
@@ -46,7 +48,7 @@
             is ULong -> writeUnsigned(generator, value)
             is Double -> generator.writeNumber(value)
             is FieldMap -> write(generator, value.map)
-            else -> error("no encoding for ${value::class.java}")
+            else -> error("no CBOR encoding for ${value::class.java}")
         }
     }
 
--- a/src/main/kotlin/flaxfield/codec/MalformedException.kt
+++ b/src/main/kotlin/flaxfield/codec/MalformedException.kt
@@ -1,4 +1,4 @@
 package flaxfield.codec
 
-/** Thrown for bytes that can't be decoded, and for a field or setting that is missing or invalid. */
+/** Thrown if bytes cannot be decoded, or if a field or setting is missing or invalid. */
 class MalformedException(message: String, cause: Throwable? = null) : Exception(message, cause)
--- a/src/main/kotlin/flaxfield/codec/MapReader.kt
+++ b/src/main/kotlin/flaxfield/codec/MapReader.kt
@@ -4,11 +4,12 @@
 import com.fasterxml.jackson.core.JsonToken
 
 /**
- * Reads one map field by field into a typed message, without building a tree as [FieldMap] needs; for messages that
- * arrive hundreds of times a second. A value of another type than requested reads as null and is skipped.
+ * A streaming reader of one map, which decodes a typed message without building the tree that a [FieldMap] wraps. It is
+ * meant for messages that arrive hundreds of times a second. A value of another type than requested is read as null
+ * and skipped.
  */
 class MapReader internal constructor(private val parser: JsonParser) {
-    /** Calls [field] with the name of each field; what [field] does not read of the value is skipped. */
+    /** Calls [field] with the name of each field, and skips the part of its value that [field] does not read. */
     fun forEachField(field: (String) -> Unit) {
         while (true) {
             when (parser.nextToken()) {
@@ -24,7 +25,7 @@
         }
     }
 
-    /** Calls [item] for each map in the current value, which is a list; other items are skipped. */
+    /** Calls [item] for each map in the current value if it is a list, and skips items of other types. */
     fun forEachMap(item: () -> Unit) {
         if (parser.currentToken() != JsonToken.START_ARRAY) return
         while (true) {
@@ -37,23 +38,23 @@
         }
     }
 
-    /** The current value as text. */
+    /** Returns the current value if it is a string. */
     fun text(): String? = if (parser.currentToken() == JsonToken.VALUE_STRING) parser.text else null
 
-    /** The current value as a boolean. */
+    /** Returns the current value if it is a boolean. */
     fun boolean(): Boolean? = when (parser.currentToken()) {
         JsonToken.VALUE_TRUE -> true
         JsonToken.VALUE_FALSE -> false
         else -> null
     }
 
-    /** The current value as a number. */
+    /** Returns the current value if it is a number. */
     fun number(): Double? = when (parser.currentToken()) {
         JsonToken.VALUE_NUMBER_INT, JsonToken.VALUE_NUMBER_FLOAT -> parser.doubleValue
         else -> null
     }
 
-    /** The current value as an unsigned 64-bit integer: a count, version, token or attempt. */
+    /** Returns the current value if it is an unsigned 64-bit integer. */
     fun unsigned(): ULong? = when (parser.currentToken()) {
         JsonToken.VALUE_NUMBER_INT -> if (parser.numberType == JsonParser.NumberType.BIG_INTEGER) {
             TreeReader.unsigned(parser.bigIntegerValue)
--- a/src/main/kotlin/flaxfield/codec/TreeReader.kt
+++ b/src/main/kotlin/flaxfield/codec/TreeReader.kt
@@ -7,20 +7,22 @@
 import java.math.BigInteger
 
 /**
- * Reads documents whose root is a map from Jackson's parsers, which CBOR and JSON share. Only the streaming interface
- * is used: data binding would cost memory and start-up time.
+ * Reads documents whose root is a map from a Jackson parser, for CBOR and JSON alike. Uses only the streaming API,
+ * since data binding would cost memory and startup time.
  */
 internal object TreeReader {
     private const val MAX_DEPTH = 32
     private const val ULONG_BITS = 64
 
-    /** What parsers must refuse in any document. */
+    /** The limits that parsers enforce on every document. */
     val constraints: StreamReadConstraints = StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build()
 
-    /** Reads the one map that [parser] holds as a tree of maps, lists and plain values. */
+    /** Reads the single map of [parser] as a tree of maps, lists and scalar values. */
     fun read(parser: JsonParser): FieldMap = read(parser) { FieldMap(readMap(it)) }
 
-    /** Reads the one map that [parser] holds with [read], which is called at its start and must read to its end. */
+    /**
+     * Reads the single map of [parser] with [read], which is called at the start of the map and must consume all of it.
+     */
     inline fun <T> read(parser: JsonParser, read: (JsonParser) -> T): T {
         try {
             parser.use {
@@ -76,7 +78,10 @@
         parser.longValue
     }
 
-    /** An integer beyond the range of [Long] as an unsigned one; throws [MalformedException] if it is too large. */
+    /**
+     * Returns an integer beyond the range of [Long] as an unsigned one; throws [MalformedException] if it is negative
+     * or exceeds 64 bits.
+     */
     fun unsigned(value: BigInteger): ULong {
         if (value.signum() < 0 || value.bitLength() > ULONG_BITS) throw MalformedException("number too large")
         return value.toLong().toULong()
--- a/src/main/kotlin/flaxfield/net/ConnectionQuotas.kt
+++ b/src/main/kotlin/flaxfield/net/ConnectionQuotas.kt
@@ -1,27 +1,27 @@
 package flaxfield.net
 
-/** How one process divides its limit of sockets between kinds of connections, so that none exhausts the others'. */
+/** How a process divides its socket limit between kinds of connections, so that no kind starves the others. */
 data class ConnectionQuotas(
-    /** Incoming connections of all kinds. */
+    /** The maximum number of incoming connections of all kinds. */
     val incoming: Int,
-    /** Incoming connections of users, while workers leave as many free. */
+    /** The maximum number of incoming connections of users, if workers leave that many free. */
     val users: Int,
-    /** Incoming connections of users that workers can't take. */
+    /** The number of incoming connections reserved for users. */
     val reservedForUsers: Int,
-    /** Outgoing requests to workers at once. */
+    /** The maximum number of concurrent direct commands to workers. */
     val direct: Int,
-    /** Connections that wait to be accepted: after a restart all workers connect at once. */
+    /** The accept backlog of the listening socket: after a restart all workers connect at once. */
     val backlog: Int,
 ) {
     companion object {
-        /** The rest is for the state service, the cloud, the peers, the listeners and open files. */
+        /** The remaining sockets are for the state service, the cloud, the peers, the listeners and open files. */
         private const val INCOMING_SHARE = 0.93
         private const val USERS_SHARE = 0.35
         private const val RESERVED_FOR_USERS_SHARE = 0.03
         private const val DIRECT_SHARE = 0.04
         private const val BACKLOG_SHARE = 0.5
 
-        /** The quotas of a process that may have this many [sockets]. */
+        /** Returns the quotas of a process that may open up to [sockets] sockets. */
         fun of(sockets: Int) = ConnectionQuotas(
             quota(sockets, INCOMING_SHARE),
             quota(sockets, USERS_SHARE),
--- a/src/main/kotlin/flaxfield/net/Headers.kt
+++ b/src/main/kotlin/flaxfield/net/Headers.kt
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpHeadersFactory
 
 /**
- * Headers without Netty's validation of each character: sent ones are the program's own, and of received ones only a
- * few are read. At hundreds of requests a second the validation takes a notable share of the processor time.
+ * Creates headers without Netty's validation of each character, which takes a notable share of the CPU time at hundreds
+ * of requests a second. It is not needed: this program sets all sent headers, and reads only a few received ones.
  */
 internal object Headers {
     val unchecked: HttpHeadersFactory = DefaultHttpHeadersFactory.headersFactory().withValidation(false)
--- a/src/main/kotlin/flaxfield/net/HttpClient.kt
+++ b/src/main/kotlin/flaxfield/net/HttpClient.kt
@@ -26,12 +26,12 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * A client for one endpoint: a pool of connections with one request at a time on each, and a bounded queue of requests
- * that wait for a connection. Runs on the event loop; callbacks are called there.
+ * An HTTP client for one endpoint, with a connection pool and a bounded queue of requests that wait for a connection.
+ * Each connection carries one request at a time. Runs on the event loop, which also calls the callbacks.
  */
 class HttpClient(
     private val loop: EventLoopGroup,
-    private val out: OutboundQueue,
+    private val outbound: OutboundQueue,
     private val address: Address,
     private val maxConnections: Int,
     private val maxQueued: Int = maxConnections * QUEUED_PER_CONNECTION,
@@ -39,7 +39,7 @@
     /** Whether a connection stays open after a response. */
     private val keepAlive: Boolean = true,
 ) : HttpTransport {
-    /** A request from its submission until its callback has been called. */
+    /** A request whose callback has not been called yet. */
     private class PendingRequest(
         val method: String,
         val path: String,
@@ -52,7 +52,7 @@
         var connection: Connection? = null
     }
 
-    /** A pooled connection; [channel] is null until it is connected, [request] while it is idle. */
+    /** A pooled connection. [channel] is null until it is connected, and [request] is null while it is idle. */
     private class Connection {
         var channel: Channel? = null
         var request: PendingRequest? = null
@@ -64,7 +64,7 @@
     private var connections = 0
 
     override fun send(method: String, path: String, body: ByteArray?, timeoutMs: Long, done: (Response?) -> Unit) {
-        out.add { start(PendingRequest(method, path, body, timeoutMs, done)) }
+        outbound.add { start(PendingRequest(method, path, body, timeoutMs, done)) }
     }
 
     private fun start(request: PendingRequest) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Opens a connection, which then sends [request]. */
+    /** Opens a connection and sends [request] on it. */
     private fun connect(request: PendingRequest) {
         val connection = Connection()
         connections++
@@ -139,7 +139,9 @@
         return message
     }
 
-    /** Also closes the connection: a late response must not be taken for that of the next request. */
+    /**
+     * Fails [request] and closes its connection, so that a late response is not mistaken for that of the next request.
+     */
     private fun timeOut(request: PendingRequest) {
         if (request.isFinished) return
         queued.remove(request)
@@ -192,9 +194,9 @@
             sendQueued()
         }
 
-        @Deprecated("Netty's name for it")
+        @Deprecated("overrides a method that Netty deprecates")
         override fun exceptionCaught(ctx: ChannelHandlerContext, cause: Throwable) {
-            // Closing the channel ends its request without a response; the cause is of no use to the caller.
+            // Closing the channel completes its request without a response; callers do not need the cause.
             ctx.close()
         }
     }
@@ -203,7 +205,7 @@
         const val QUEUED_PER_CONNECTION = 8
         const val CONNECT_TIMEOUT_MS = 2_000
 
-        /** The protocol has no limit for the response to a watch; this one bounds the memory that it takes. */
+        /** Bounds the memory of a response, since the protocol does not limit the response to a watch. */
         const val MAX_RESPONSE_BYTES = 8 * 1024 * 1024
     }
 }
--- a/src/main/kotlin/flaxfield/net/HttpServer.kt
+++ b/src/main/kotlin/flaxfield/net/HttpServer.kt
@@ -26,12 +26,12 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * The HTTP server of `serve_on`: decodes requests, hands them to [onRequest] and encodes responses. Limits how many
- * connections are open; one without requests for [idleS] is closed. Runs on the event loop.
+ * The HTTP server on the `serve_on` address: decodes requests, passes them to [onRequest] and encodes responses. Limits
+ * the number of open connections, and closes those without a request for [idleS]. Runs on the event loop.
  */
 class HttpServer(
     private val loop: EventLoopGroup,
-    private val out: OutboundQueue,
+    private val outbound: OutboundQueue,
     quotas: ConnectionQuotas,
     private val idleS: Double,
     private val onRequest: (Request) -> Unit,
@@ -39,7 +39,7 @@
     private val backlog = quotas.backlog
     private val connections = ConnectionLimits<Channel>(quotas) { it.close() }
 
-    /** Listens on [host] and [port], and returns once it does. */
+    /** Binds the server to [host] and [port], and returns once it accepts connections. */
     fun bind(host: String, port: Int): Channel {
         scheduleIdleChecks()
         return ServerBootstrap()
@@ -77,7 +77,7 @@
         override fun channelRead0(ctx: ChannelHandlerContext, message: FullHttpRequest) {
             val keepAlive = HttpUtil.isKeepAlive(message)
             val responder = SingleUseResponder { status, body, retryAfterS ->
-                out.add {
+                outbound.add {
                     connections.responseSent(ctx.channel())
                     respond(ctx, keepAlive, status, body, retryAfterS)
                 }
@@ -105,7 +105,7 @@
             )
         }
 
-        @Deprecated("Netty's name for it")
+        @Deprecated("overrides a method that Netty deprecates")
         override fun exceptionCaught(ctx: ChannelHandlerContext, cause: Throwable) {
             log.debug("event=connection_failed reason=\"{}\"", cause.toString())
             ctx.close()
@@ -133,13 +133,13 @@
         val log = LoggerFactory.getLogger("flaxfield.net")
         const val MAX_BODY_BYTES = 64 * 1024
 
-        /** Requests under this path come from users; workers and the load balancer's probes use other paths. */
+        /** The path prefix of users' requests; workers and the load balancer's probes use other paths. */
         const val USERS_PATH = "/work"
 
-        /** What a user is told who finds too many other users connected. */
+        /** The `Retry-After` value of a response to a user that exceeds the connection limit. */
         const val RETRY_AFTER_S = 1
 
-        /** The interval of checks for idle connections, as a share of the time after which they are closed. */
+        /** The interval between checks for idle connections, as a share of the idle timeout. */
         const val IDLE_CHECK_SHARE = 0.25
     }
 }
--- a/src/main/kotlin/flaxfield/net/HttpStatus.kt
+++ b/src/main/kotlin/flaxfield/net/HttpStatus.kt
@@ -1,6 +1,6 @@
 package flaxfield.net
 
-/** The HTTP status codes that controllers send or tell apart. */
+/** The HTTP status codes that controllers send or distinguish. */
 object HttpStatus {
     const val OK = 200
     const val CREATED = 201
--- a/src/main/kotlin/flaxfield/net/OutboundQueue.kt
+++ b/src/main/kotlin/flaxfield/net/OutboundQueue.kt
@@ -3,14 +3,14 @@
 import io.netty.channel.EventLoop
 
 /**
- * Hands work from the owner thread to the network thread, batch by batch: each wake-up of the network thread costs more
- * processor time than sending one response. Work added on the network thread itself runs at once.
+ * Batches work that the owner thread passes to the network thread, since each wakeup of the network thread costs more
+ * CPU time than sending a response. Work added on the network thread itself runs immediately.
  */
 class OutboundQueue(private val loop: EventLoop) {
     private var pending = ArrayList<() -> Unit>()
     private var oldestNs = 0L
 
-    /** Adds [block]; called by the owner thread, which also calls [flush], or by the network thread. */
+    /** Adds [block]. Called on the owner thread, which also calls [flush], or on the network thread. */
     fun add(block: () -> Unit) {
         if (loop.inEventLoop()) return block()
         if (pending.isEmpty()) oldestNs = System.nanoTime()
@@ -18,14 +18,14 @@
     }
 
     /**
-     * Flushes if the oldest entry has waited too long. Called within long batches, so that lease renewals and responses
-     * to workers are not delayed until their end.
+     * Flushes if the oldest entry has waited longer than [MAX_DELAY_NS]. Called during long batches of commands, so
+     * that lease renewals and responses to workers are not delayed until the end of the batch.
      */
     fun flushLate() {
         if (pending.isNotEmpty() && System.nanoTime() - oldestNs > MAX_DELAY_NS) flush()
     }
 
-    /** Hands over all that has been added. */
+    /** Passes all pending work to the network thread. */
     fun flush() {
         if (pending.isEmpty()) return
         val batch = pending
@@ -34,7 +34,7 @@
     }
 
     private companion object {
-        /** Far below every client's timeout; an ordinary batch takes less. */
+        /** Far below every client's timeout, and longer than an ordinary batch takes. */
         const val MAX_DELAY_NS = 20_000_000L
     }
 }
--- a/src/main/kotlin/flaxfield/net/Request.kt
+++ b/src/main/kotlin/flaxfield/net/Request.kt
@@ -1,13 +1,13 @@
 package flaxfield.net
 
-/** One HTTP request. [responder] is used once, by the owner thread or the network thread. */
+/** An HTTP request. [responder] is used once, on the owner thread or the network thread. */
 class Request(
     val method: String,
     val path: String,
-    /** What follows the question mark of the target; empty if there is none. */
+    /** The query string without its question mark; empty if there is none. */
     val query: String,
     val body: ByteArray,
-    /** Whether the client still waits: a request whose connection is closed needs no answer, nor the work for one. */
+    /** Whether the client is still connected. If not, the request is dropped without being executed. */
     val isClientWaiting: () -> Boolean = { true },
     val responder: Responder,
 )
--- a/src/main/kotlin/flaxfield/net/Responder.kt
+++ b/src/main/kotlin/flaxfield/net/Responder.kt
@@ -4,13 +4,13 @@
 
 /** Sends the response to one request. */
 fun interface Responder {
-    /** Sends [body] under [status]; [retryAfterS], if any, tells the client when to try again. */
+    /** Sends [body] with [status]; [retryAfterS], if not null, becomes the `Retry-After` header. */
     fun send(status: Int, body: Body, retryAfterS: Int?)
 }
 
 /**
- * Passes on the first response only. On a persistent connection the client would take a second one for the response to
- * its next request. A second response is a defect of the caller, and is logged.
+ * Forwards the first response only. On a persistent connection, the client would take a second response for that to its
+ * next request. A second response is a bug in the caller and is logged.
  */
 class SingleUseResponder(private val responder: Responder) : Responder {
     private var isUsed = false
--- a/src/main/kotlin/flaxfield/operator/BudgetResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/BudgetResponses.kt
@@ -7,17 +7,20 @@
 import flaxfield.operator.v1.Budget
 import flaxfield.operator.v1.Spending
 
-/** Pure: the teams' disruption budgets in one snapshot as operators see them. */
+/** Builds the responses about the teams' disruption budgets from one snapshot. Pure. */
 class BudgetResponses(private val snapshot: FleetSnapshot) {
-    /** The teams with tasks or with budgets of their own; none while a member runs without a fleet file. */
+    /**
+     * Returns the budgets of the teams with tasks or with a configured budget, sorted by team. Returns none while the
+     * fleet file of a member is unknown.
+     */
     fun budgets(): List<Budget> {
         val policy = snapshot.policy() ?: return emptyList()
         val availability = Availability(snapshot, policy)
-        val named = snapshot.configs.values.flatMapTo(sortedSetOf()) { it.budgets.keys }
-        return (named + availability.teams.keys).sorted().map { budget(it, availability.of(it)) }
+        val configuredTeams = snapshot.configs.values.flatMapTo(sortedSetOf()) { it.budgets.keys }
+        return (configuredTeams + availability.teams.keys).sorted().map { budget(it, availability.of(it)) }
     }
 
-    /** The budget of [team], which may be without tasks; null while a member runs without a fleet file. */
+    /** Returns the budget of [team], even if it has no tasks; null while the fleet file of a member is unknown. */
     fun budgetOf(team: String): Budget? = snapshot.policy()?.let { budget(team, Availability(snapshot, it).of(team)) }
 
     private fun budget(team: String, availability: TeamAvailability): Budget {
--- a/src/main/kotlin/flaxfield/operator/CallExecutor.kt
+++ b/src/main/kotlin/flaxfield/operator/CallExecutor.kt
@@ -9,43 +9,43 @@
 import java.util.concurrent.atomic.AtomicBoolean
 
 /**
- * Runs operators' calls: reads on the caller's thread, orders on the owner thread. Limits how many run at once, and
- * ends each call with exactly one answer or error. Safe from any thread.
+ * Executes operators' calls: reads on the calling thread, orders on the owner thread. Limits the number of concurrent
+ * calls, and completes each call with exactly one answer or error. Thread-safe.
  */
 internal class CallExecutor(
-    /** The latest snapshot. */
+    /** Returns the latest snapshot. */
     private val snapshot: () -> FleetSnapshot,
-    /** Hands work to the owner thread. */
+    /** Posts work to the owner thread. */
     private val post: (() -> Unit) -> Unit,
 ) {
     private val permits = Semaphore(MAX_CONCURRENT_CALLS)
 
-    /** Whether every call is refused. */
+    /** Whether the server is stopping and refuses all calls. */
     @Volatile
     var isStopping = false
         private set
 
-    /** Refuses every call from here on. */
+    /** Refuses all further calls. */
     fun stop() {
         isStopping = true
     }
 
     /**
-     * Answers from a snapshot of revision [minRevision] or later; refuses at once where this controller has none, so
-     * that the client asks another.
+     * Answers from a snapshot of revision [minRevision] or later. If this controller has none, refuses the call at
+     * once, so that the client tries another controller.
      */
-    fun <T> read(minRevision: Long, observer: StreamObserver<T>, answer: (FleetSnapshot) -> T) = guarded(observer) {
+    fun <T> read(minRevision: Long, observer: StreamObserver<T>, answer: (FleetSnapshot) -> T) = withPermit(observer) {
         val latest = snapshot()
         when {
-            latest.revision == 0uL -> throw CallStatus.unavailable("this node has not read its view yet")
+            latest.revision == 0uL -> throw CallStatus.unavailable("this controller has not loaded its view yet")
             latest.revision < minRevision.toULong() ->
-                throw CallStatus.unavailable("this node is at revision ${latest.revision}")
+                throw CallStatus.unavailable("this controller is at revision ${latest.revision}")
         }
         observer.onNext(answer(latest))
         observer.onCompleted()
     }
 
-    private fun <T> guarded(observer: StreamObserver<T>, block: () -> Unit) {
+    private fun <T> withPermit(observer: StreamObserver<T>, block: () -> Unit) {
         if (!admit(observer)) return
         try {
             block()
@@ -53,13 +53,15 @@
             observer.onError(e)
         } catch (fault: RuntimeException) {
             log.error("event=call_failed", fault)
-            observer.onError(CallStatus.internal("internal fault, see the node's log"))
+            observer.onError(CallStatus.internal("internal error, see the log of the controller"))
         } finally {
             permits.release()
         }
     }
 
-    /** Submits an order on the owner thread and answers once, with what [reply] makes of its record. */
+    /**
+     * Submits an order on the owner thread and answers with the message that [reply] builds from the recorded order.
+     */
     fun <R, T> order(
         observer: StreamObserver<T>,
         submit: ((OrderResult<R>) -> Unit) -> Unit,
@@ -82,7 +84,7 @@
         }
     }
 
-    /** Runs [start] on the owner thread; [finish] is called with the first result that it gives. */
+    /** Runs [start] on the owner thread and calls [finish] with its first result; further results are ignored. */
     fun <R> onOwnerThread(observer: StreamObserver<*>, start: ((R) -> Unit) -> Unit, finish: (R) -> Unit) {
         if (!admit(observer)) return
         val isFinished = AtomicBoolean()
@@ -96,10 +98,10 @@
         }
     }
 
-    /** Takes a permit for one call; false, with the call refused, if there is none. */
+    /** Acquires a permit for a call; if there is none, refuses the call and returns false. */
     private fun admit(observer: StreamObserver<*>): Boolean {
         val refusal = when {
-            isStopping -> CallStatus.unavailable("this node is stopping")
+            isStopping -> CallStatus.unavailable("this controller is stopping")
             !permits.tryAcquire() -> CallStatus.tooManyCalls()
             else -> return true
         }
@@ -110,7 +112,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.operator")
 
-        /** Callers are operators and their scripts, not users. */
+        /** Enough for operators and their scripts; users do not call this service. */
         const val MAX_CONCURRENT_CALLS = 32
     }
 }
--- a/src/main/kotlin/flaxfield/operator/CallStatus.kt
+++ b/src/main/kotlin/flaxfield/operator/CallStatus.kt
@@ -4,11 +4,11 @@
 import io.grpc.Status
 import io.grpc.StatusRuntimeException
 
-/** The gRPC statuses with which calls are refused; clients decide by them whether to ask another controller. */
+/** The gRPC statuses of refused calls, by which clients decide whether to try another controller. */
 internal object CallStatus {
     fun notFound(message: String): StatusRuntimeException = exception(Status.NOT_FOUND, message)
 
-    /** Another controller may be able to answer. */
+    /** For a call that another controller may be able to answer. */
     fun unavailable(message: String): StatusRuntimeException = exception(Status.UNAVAILABLE, message)
 
     fun invalid(message: String): StatusRuntimeException = exception(Status.INVALID_ARGUMENT, message)
@@ -17,9 +17,9 @@
 
     fun internal(message: String): StatusRuntimeException = exception(Status.INTERNAL, message)
 
-    fun tooManyCalls(): StatusRuntimeException = exception(Status.RESOURCE_EXHAUSTED, "too many calls at once")
+    fun tooManyCalls(): StatusRuntimeException = exception(Status.RESOURCE_EXHAUSTED, "too many concurrent calls")
 
-    /** The status of an order that is refused for [fault]. */
+    /** Returns the status of an order that is refused because of [fault]. */
     fun of(fault: OrderFault, message: String): StatusRuntimeException = exception(status(fault), message)
 
     private fun status(fault: OrderFault): Status = when (fault) {
--- a/src/main/kotlin/flaxfield/operator/DrainResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/DrainResponses.kt
@@ -10,14 +10,14 @@
 import flaxfield.operator.v1.Selector
 import flaxfield.operator.v1.Wait
 
-/** Pure: the drains of one snapshot as operators see them. The same on each controller at the same revision. */
+/** Builds the responses about drains from one snapshot. Pure: all controllers give the same response at a revision. */
 class DrainResponses(private val snapshot: FleetSnapshot, maxLedgerEntries: Int) {
     private val plan: DrainPlan by lazy { DrainPlanner(snapshot, maxLedgerEntries).plan() }
 
-    /** All drains, the oldest first. */
+    /** Returns all drains, the oldest first. */
     fun drains(): List<Drain> = snapshot.drains.values.sortedWith(compareBy({ it.orderedMs }, { it.id })).map(::drain)
 
-    /** The drain called [id], or null. */
+    /** Returns the drain called [id], or null if it does not exist. */
     fun drain(id: String): Drain? = snapshot.drains[id]?.let(::drain)
 
     private fun drain(record: DrainRecord): Drain {
--- a/src/main/kotlin/flaxfield/operator/FinishedJobReader.kt
+++ b/src/main/kotlin/flaxfield/operator/FinishedJobReader.kt
@@ -7,21 +7,21 @@
 import flaxfield.store.StoreKeys
 import flaxfield.store.WriteCause
 
-/** The outcome of a lookup of a finished job. */
+/** The result of looking up a finished job. */
 sealed interface FinishedJobResult {
-    /** The job is finished. */
+    /** The job exists and has finished. */
     data class Found(val job: FinishedJob) : FinishedJobResult
 
-    /** There is no such finished job. */
+    /** No finished job of that id exists. */
     data object Absent : FinishedJobResult
 
-    /** The state service has not answered, or may not be asked now. */
+    /** The state service did not answer, or the request budget does not allow a read now. */
     data object Unavailable : FinishedJobResult
 }
 
-/** Reads finished jobs from the state service, one by one; the owner thread calls it. */
+/** Reads single finished jobs from the state service. Confined to the owner thread. */
 class FinishedJobReader(private val context: ControllerContext) {
-    /** Reads the job called [id], which is not in the view; [done] is called once, on the owner thread. */
+    /** Reads the job called [id], which is not in the view, and calls [done] exactly once, on the owner thread. */
     fun find(id: String, done: (FinishedJobResult) -> Unit) {
         if (!context.transactions.budget.take(
                 WriteCause.READ,
--- a/src/main/kotlin/flaxfield/operator/FleetFile.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetFile.kt
@@ -3,9 +3,9 @@
 import flaxfield.drain.FleetConfig
 import flaxfield.settings.Address
 
-/** The contents of a fleet file: the address on which operators are served, and the budgets. */
+/** The contents of a fleet file: the address of the operators' service and the fleet's configuration. */
 data class FleetFile(val listen: Address, val config: FleetConfig)
 
-/** A fleet file that is invalid: each of [faults] is one line. */
-class FleetFileException(val faults: List<String>, cause: Throwable? = null) :
-    Exception(faults.joinToString("\n"), cause)
+/** Thrown if a fleet file is invalid; each of [errors] is one line. */
+class FleetFileException(val errors: List<String>, cause: Throwable? = null) :
+    Exception(errors.joinToString("\n"), cause)
--- a/src/main/kotlin/flaxfield/operator/FleetFiles.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetFiles.kt
@@ -16,14 +16,14 @@
 import java.io.File
 import java.io.IOException
 
-/** Reads fleet files, and validates them against their schema and the platform's settings. */
+/** Loads fleet files, and validates them against their JSON schema and the platform's settings. */
 object FleetFiles {
     private const val SCHEMA = "/schema/fleet-1.schema.json"
     private const val DEFAULT_SURGE_MACHINES = 2
-    private const val UNLIMITED = Int.MAX_VALUE
+    private const val UNLIMITED_MACHINES = Int.MAX_VALUE
     private val mapper = ObjectMapper()
 
-    /** Reads the file at [path]; throws [FleetFileException] with all of its faults. */
+    /** Loads the file at [path]; throws [FleetFileException] with all of its errors if it is invalid. */
     fun load(path: String, settings: Settings): FleetFile {
         val text = try {
             File(path).readText()
@@ -33,63 +33,66 @@
         return parse(text, settings) { "fleet file $path: $it" }
     }
 
-    /** Parses [text]; [describe] turns a fault into a line. */
+    /** Parses [text]; [describe] formats an error as a line. Throws [FleetFileException] if [text] is invalid. */
     fun parse(text: String, settings: Settings, describe: (String) -> String): FleetFile {
         val root = try {
             mapper.readTree(text)
         } catch (e: JsonProcessingException) {
             throw FleetFileException(listOf(describe("not JSON: ${e.originalMessage}")), e)
         }
-        val faults = schema().validate(root).map { it.message } + unknownNames(root, settings)
-        if (faults.isNotEmpty()) throw FleetFileException(faults.map(describe))
+        val errors = loadSchema().validate(root).map { it.message } + unknownNames(root, settings)
+        if (errors.isNotEmpty()) throw FleetFileException(errors.map(describe))
         return try {
-            read(root)
+            toFleetFile(root)
         } catch (e: MalformedException) {
             throw FleetFileException(listOf(describe("$.listen: ${e.message}")), e)
         }
     }
 
-    private fun schema(): JsonSchema {
+    private fun loadSchema(): JsonSchema {
         val stream = checkNotNull(FleetFiles::class.java.getResourceAsStream(SCHEMA)) { "no $SCHEMA in the jar" }
         return stream.use { JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(it) }
     }
 
     private fun unknownNames(root: JsonNode, settings: Settings): List<String> {
         val classes = settings.objectives.mapTo(HashSet()) { it.jobClass }
-        val unknownTeams = names(root, "budgets")
+        val unknownTeams = fieldNames(root, "budgets")
             .filter { it !in settings.teams }
             .map { "$.budgets.$it: no such team in the settings" }
         val unknownClasses = listOf("classes", "recovery_tiers").flatMap { field ->
-            names(root, field)
+            fieldNames(root, field)
                 .filter { it !in classes }
                 .map { "$.$field.$it: no such class in the settings" }
         }
         return unknownTeams + unknownClasses
     }
 
-    private fun names(root: JsonNode, field: String): List<String> = root.path(field).fieldNames().asSequence().toList()
+    private fun fieldNames(root: JsonNode, field: String): List<String> =
+        root.path(field).fieldNames().asSequence().toList()
 
-    private fun read(root: JsonNode) = FleetFile(
+    private fun toFleetFile(root: JsonNode) = FleetFile(
         Address.parse(root.path("listen").asText()),
         FleetConfig(
             incarnation = "",
-            budgets = names(root, "budgets").associateWith { limit(root.path("budgets").path(it)) },
-            defaultBudget = limit(root.path("default_budget")),
-            classes = names(root, "classes").associateWith { repeat(root.path("classes").path(it).asText()) },
-            defaultRepeat = repeat(root.path("default_repeat").asText(RepeatPolicy.CHECKPOINTED.name)),
+            budgets = fieldNames(root, "budgets").associateWith { parseBudgetLimit(root.path("budgets").path(it)) },
+            defaultBudget = parseBudgetLimit(root.path("default_budget")),
+            classes = fieldNames(root, "classes").associateWith {
+                parseRepeatPolicy(root.path("classes").path(it).asText())
+            },
+            defaultRepeat = parseRepeatPolicy(root.path("default_repeat").asText(RepeatPolicy.CHECKPOINTED.name)),
             surgeMachines = root.path("surge_machines").asInt(DEFAULT_SURGE_MACHINES),
-            maxCordoned = root.path("max_cordoned").asInt(UNLIMITED),
-            recoveryTiers = names(root, "recovery_tiers").associateWith {
+            maxCordoned = root.path("max_cordoned").asInt(UNLIMITED_MACHINES),
+            recoveryTiers = fieldNames(root, "recovery_tiers").associateWith {
                 root.path("recovery_tiers").path(it).asInt()
             },
         ),
     )
 
-    private fun limit(node: JsonNode): BudgetLimit = if (node.has("percent")) {
+    private fun parseBudgetLimit(node: JsonNode): BudgetLimit = if (node.has("percent")) {
         BudgetLimit.Percent(node.path("percent").asDouble())
     } else {
         BudgetLimit.Absolute(Capacity(node.path("cpus").asDouble(), node.path("accelerators").asDouble()))
     }
 
-    private fun repeat(text: String) = RepeatPolicy.valueOf(text.uppercase())
+    private fun parseRepeatPolicy(text: String) = RepeatPolicy.valueOf(text.uppercase())
 }
--- a/src/main/kotlin/flaxfield/operator/FleetLauncher.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetLauncher.kt
@@ -15,19 +15,19 @@
 import kotlin.system.exitProcess
 
 /**
- * Runs a controller with a fleet file: the operators' service beside it, reloads on SIGHUP and a graceful stop. Loaded
- * only with such a file.
+ * Runs a controller that has a fleet file: adds the operators' service, reloads the file on SIGHUP and shuts down
+ * gracefully. This class is loaded only if the controller has a fleet file.
  */
 class FleetLauncher(private val settings: Settings, private val path: String) {
     /**
-     * Runs the controller until the process ends. An invalid file ends the process at once, with each fault on a line
-     * of its own.
+     * Runs the controller until the process is terminated. If the file is invalid, prints each error on a line and
+     * exits.
      */
     fun serve(operator: OperatorSettings, incarnation: String): Nothing {
         val file = try {
             FleetFiles.load(path, settings)
         } catch (e: FleetFileException) {
-            for (fault in e.faults) System.err.println("flaxfield: $fault")
+            for (error in e.errors) System.err.println("flaxfield: $error")
             exitProcess(EXIT_USAGE)
         }
         serve(file, operator, incarnation)
@@ -49,12 +49,12 @@
             server.start()
         } catch (e: IOException) {
             val cause = e.cause?.message ?: e.message
-            throw MalformedException("fleet file $path: can't listen on ${file.listen}: $cause")
+            throw MalformedException("fleet file $path: cannot listen on ${file.listen}: $cause")
         }
         log.info("event=operator_server_started controller={} address={}", settings.nodeName, file.listen)
     }
 
-    /** Reads the file again. An invalid one is refused as a whole, and the previous one stays in force. */
+    /** Reloads the file. An invalid file is rejected as a whole, and the previous configuration stays in effect. */
     private fun reload(first: FleetFile, control: FleetControl) {
         try {
             val file = FleetFiles.load(path, settings)
@@ -64,11 +64,11 @@
             control.reload(file.config)
             log.info("event=fleet_file_reloaded file={}", path)
         } catch (e: FleetFileException) {
-            for (fault in e.faults) log.error("event=fleet_file_refused reason=\"{}\"", fault)
+            for (error in e.errors) log.error("event=fleet_file_refused reason=\"{}\"", error)
         }
     }
 
-    /** Refuses new calls, lets the controller hand over its shard, and ends the calls under way. */
+    /** Refuses new calls, lets the controller hand over its shard, and then terminates the calls in progress. */
     private fun stop(process: ControllerProcess, service: OperatorService, server: OperatorServer) {
         log.info("event=stop_started controller={}", settings.nodeName)
         service.stop()
@@ -81,13 +81,13 @@
         const val EXIT_USAGE = 2
         val log = LoggerFactory.getLogger("flaxfield.operator")
 
-        /** Half of a worker's timeout for an answer; the shard is handed over well before. */
+        /** Half of a worker's response timeout, and ample for handing over the shard. */
         const val CONTROLLER_STOP_MS = 2_000L
         const val SERVER_STOP_MS = 500L
     }
 }
 
-/** Creates the fleet control of one controller process, and keeps what the operators' service needs of it. */
+/** Creates the fleet control of a controller process, and exposes the parts that the operators' service needs. */
 private class FleetControlFactory(private val config: FleetConfig) : SubsystemFactory {
     lateinit var control: FleetControl
         private set
--- a/src/main/kotlin/flaxfield/operator/JobExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/JobExplainer.kt
@@ -11,18 +11,18 @@
 import flaxfield.zones.FleetZoneRules
 import flaxfield.zones.RepeatGuard
 
-/** Why a job is in its state: a stable code for scripts and a description for people. */
+/** Why a job is in its state: a stable [code] for scripts and a description for people. */
 internal class JobReason(val code: String, val detail: String)
 
 /**
- * Pure: why a job's tasks are pending, by the scheduler's own conditions in the order in which it checks them: the
- * team's limit, the allowed machines, and one placement round over the resources that are free by the records.
+ * Explains why a job's tasks are pending. Checks the scheduler's conditions in the scheduler's order: the team's limit,
+ * the allowed machines, and a placement round over the resources that are free according to the records. Pure.
  */
 class JobExplainer(private val snapshot: FleetSnapshot, private val teams: Map<String, Team>) {
     private val placement = PlacementExplainer(snapshot)
     private val repeatGuard = RepeatGuard(FleetZoneRules { snapshot }) { snapshot.zones[it] }
 
-    /** The state of [job], with the first condition that its pending tasks wait for. */
+    /** Returns the state of [job] and the first condition that its pending tasks do not meet. */
     fun explain(job: Job): JobExplanation {
         val reason = reason(job)
         return JobExplanation.newBuilder()
@@ -48,30 +48,34 @@
         if (job.cancelled) return JobReason("cancelled", "${job.placedCount} tasks are being stopped")
         heldByLostZone(job)?.let { return it }
         return when {
-            job.pendingCount == 0 -> JobReason("placed", "all tasks that are not done are on machines")
+            job.pendingCount == 0 -> JobReason("placed", "all unfinished tasks are placed on machines")
             job.isGang && job.placedCount > 0 ->
-                JobReason("gang_leaving", "${job.placedCount} tasks of the last attempt are still on machines")
+                JobReason("gang_leaving", "${job.placedCount} tasks of the previous attempt are still on machines")
             job.isCrashLooping -> JobReason(
                 "fails_everywhere",
-                "${job.failureCount} failures on ${job.failedMachines.size} machines: tried again now and then",
+                "${job.failureCount} failures on ${job.failedMachines.size} machines: " +
+                    "the job is in a crash loop and retried less often",
             )
             else -> limitedByQuota(job) ?: placement.explain(job)
         }
     }
 
-    /** Set if a task was on a machine of a lost zone, may have ended there, and must not be restarted by its class. */
+    /**
+     * Returns a reason if a task may have finished unreported in a lost zone, and its class forbids restarting it. Such
+     * a task stays held until the zone reports its outcome or an operator abandons it.
+     */
     private fun heldByLostZone(job: Job): JobReason? {
         val machine = job.allPlaced().firstNotNullOfOrNull { placement ->
             snapshot.machines[placement.machineName]?.takeIf {
-                !isReported(placement) && repeatGuard.isHeld(job, it.zone)
+                !isReporting(placement) && repeatGuard.isHeld(job, it.zone)
             }
         } ?: return null
         val command = "zone abandon ${machine.zone} --class ${job.spec.jobClass}"
-        return JobReason("held", "what it had on ${machine.name} may have ended there unheard; '$command' gives it up")
+        return JobReason("held", "its tasks on ${machine.name} may have finished unreported; '$command' abandons them")
     }
 
-    /** Whether the worker that was given the task still reports. */
-    private fun isReported(placement: Placement): Boolean {
+    /** Whether the worker incarnation that runs the task still reports. */
+    private fun isReporting(placement: Placement): Boolean {
         val status = snapshot.machineStatuses[placement.machineName]
         return status?.state == MachineHealth.OK && status.incarnation == placement.incarnation
     }
@@ -82,12 +86,12 @@
         if (allowed >= needed) return null
         return JobReason(
             "team_limit",
-            "team ${job.spec.team} may run $allowed more tasks of this size, $needed are needed",
+            "team ${job.spec.team} has quota for $allowed more tasks of this size, but the job needs $needed",
         )
     }
 
     companion object {
-        /** What is known at [revision] of the job called [id], which is finished. */
+        /** Returns the explanation of the finished job called [id] at [revision]. */
         fun finished(id: String, job: FinishedJob, revision: ULong): JobExplanation {
             val outcome = if (job.aborted) "cancelled" else "done"
             return JobExplanation.newBuilder()
@@ -96,7 +100,7 @@
                 .setState("over")
                 .setDone(job.done)
                 .setReason(outcome)
-                .setDetail("the job is over: $outcome")
+                .setDetail("the job has finished: $outcome")
                 .build()
         }
     }
--- a/src/main/kotlin/flaxfield/operator/MachineResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/MachineResponses.kt
@@ -4,9 +4,9 @@
 import flaxfield.drain.FleetSnapshot
 import flaxfield.operator.v1.Machine
 
-/** Pure: the machines of one snapshot as operators see them. */
+/** Builds the responses about machines from one snapshot. Pure. */
 class MachineResponses(private val snapshot: FleetSnapshot) {
-    /** All machines, by name. */
+    /** Returns all machines, sorted by name. */
     fun machines(): List<Machine> {
         val tasks = HashMap<String, Int>()
         val teams = HashMap<String, MutableSet<String>>()
--- a/src/main/kotlin/flaxfield/operator/OperatorMain.kt
+++ b/src/main/kotlin/flaxfield/operator/OperatorMain.kt
@@ -5,7 +5,7 @@
 import flaxfield.settings.OperatorSettings
 import flaxfield.settings.Settings
 
-/** The entry point of the operators' jar; [flaxfield.cli.OperatorJar] loads it by its class name. */
+/** The entry point of the operators' jar, which [flaxfield.cli.OperatorJar] loads by its class name. */
 class OperatorMain : OperatorEntry {
     override fun command(arguments: Array<String>): Int = OperatorCommands.run(arguments)
 
--- a/src/main/kotlin/flaxfield/operator/OperatorServer.kt
+++ b/src/main/kotlin/flaxfield/operator/OperatorServer.kt
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executors
 import java.util.concurrent.TimeUnit
 
-/** The gRPC server for operators, on its own address and threads, apart from users and workers. */
+/** The gRPC server for operators. Its address and threads are separate from those for users and workers. */
 class OperatorServer(address: Address, service: OperatorService) {
     private val loop = NioEventLoopGroup(1)
     private val executor = Executors.newFixedThreadPool(THREADS) { Thread(it, "operator").apply { isDaemon = true } }
@@ -25,13 +25,13 @@
         .addService(service)
         .build()
 
-    /** Binds the address; throws [IOException] if it can't. */
+    /** Binds the address and starts to serve; throws [IOException] if the address cannot be bound. */
     @Throws(IOException::class)
     fun start() {
         server.start()
     }
 
-    /** Accepts no more calls, and waits up to [timeoutMs] for those under way before it ends them. */
+    /** Accepts no more calls, waits up to [timeoutMs] for calls in progress and then cancels them. */
     fun stop(timeoutMs: Long) {
         server.shutdown()
         server.awaitTermination(timeoutMs, TimeUnit.MILLISECONDS)
@@ -39,10 +39,12 @@
     }
 
     private companion object {
-        /** Reads are short iterations over a snapshot; two threads leave the owner thread its core. */
+        /**
+         * Reads are short iterations over a snapshot; more threads would compete with the owner thread for CPU time.
+         */
         const val THREADS = 2
 
-        /** Holds a selector of some thousand machine names. */
+        /** Enough for a selector with several thousand machine names. */
         const val MAX_REQUEST_BYTES = 128 * 1024
         const val CALLS_PER_CONNECTION = 16
     }
--- a/src/main/kotlin/flaxfield/operator/OperatorService.kt
+++ b/src/main/kotlin/flaxfield/operator/OperatorService.kt
@@ -27,19 +27,19 @@
 import io.grpc.stub.StreamObserver
 
 /**
- * The operators' gRPC service. Reads are answered from the latest snapshot; orders are recorded by the owner thread and
- * answered once they are committed.
+ * The operators' gRPC service. Reads are answered from the latest snapshot. Orders are recorded by the owner thread,
+ * and answered once they are committed.
  */
 class OperatorService(
     private val control: FleetControl,
     private val settings: Settings,
-    /** Hands work to the owner thread. */
+    /** Posts work to the owner thread. */
     post: (() -> Unit) -> Unit,
     private val finishedJobs: FinishedJobReader,
 ) : OperatorGrpc.OperatorImplBase() {
     private val calls = CallExecutor({ control.publisher.current }, post)
 
-    /** Refuses every call from here on. */
+    /** Refuses all further calls. */
     fun stop() = calls.stop()
 
     override fun listDrains(request: ReadRequest, observer: StreamObserver<DrainList>) =
@@ -84,7 +84,7 @@
                 .build()
         }
 
-    /** A job that is not in the view may be finished, and is then looked up in the state service. */
+    /** Explains a job of the view; any other job may have finished, and is looked up in the state service. */
     override fun explainJob(request: ShowRequest, observer: StreamObserver<JobExplanation>) {
         val id = request.name
         if (id in control.publisher.current.jobs || !JobCodec.isId(id) || calls.isStopping) {
@@ -129,7 +129,7 @@
             Change.PAUSE -> DrainOrder.Pause(request.id)
             Change.RESUME -> DrainOrder.Resume(request.id)
             Change.CANCEL -> DrainOrder.Cancel(request.id)
-            else -> return observer.onError(CallStatus.invalid("no such change of a drain"))
+            else -> return observer.onError(CallStatus.invalid("the change must be PAUSE, RESUME or CANCEL"))
         }
         order(order, observer)
     }
@@ -184,7 +184,7 @@
     private fun drainResponses(snapshot: FleetSnapshot) =
         DrainResponses(snapshot, LedgerLimits.maxEntries(settings.stateLimits))
 
-    /** Refuses the call while a controller's fleet file is unknown: budgets are those of all files combined. */
+    /** Refuses the call while a controller's fleet file is unknown, since budgets are combined from all fleet files. */
     private fun requireConfigs(snapshot: FleetSnapshot) {
         val members = snapshot.membersWithoutConfig()
         if (members.isEmpty() && snapshot.assignment != null) return
--- a/src/main/kotlin/flaxfield/operator/PlacementExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/PlacementExplainer.kt
@@ -10,9 +10,9 @@
 import flaxfield.jobs.Job
 import flaxfield.jobs.Resources
 
-/** Pure: why no machine has been found for a job's pending tasks. */
+/** Explains why a job's pending tasks are not placed. Pure. */
 internal class PlacementExplainer(private val snapshot: FleetSnapshot) {
-    /** The first condition of placement that the pending tasks of [job] fail. */
+    /** Returns the first placement condition that the pending tasks of [job] do not meet. */
     fun explain(job: Job): JobReason {
         val allowed = snapshot.machines.values.filter {
             TopologyConstraint.allowsMachineKind(job.spec, it.machineType, it.zone, it.preemptible)
@@ -25,33 +25,33 @@
             val drained = allowed.count { it.cordon != null }
             return JobReason(
                 "no_open_machine",
-                "of ${allowed.size} allowed machines none takes work now, $drained are drained",
+                "none of ${allowed.size} allowed machines is schedulable; $drained are cordoned by drains",
             )
         }
-        return explainRound(job, schedulable)
+        return explainPlacementRound(job, schedulable)
     }
 
-    /** The result of one placement round over [machines]. */
-    private fun explainRound(job: Job, machines: List<Machine>): JobReason {
+    /** Explains the result of a placement round over [machines]. */
+    private fun explainPlacementRound(job: Job, machines: List<Machine>): JobReason {
         val candidates = candidates(machines)
         val round = GangPlacement.place(job, candidates.map { it.copy() })
         val fitting = candidates.sumOf { minOf(it.free.countFitting(job.spec.taskResources), job.pendingCount) }
         return when {
             job.isGang && round is GangPlacementResult.Infeasible -> JobReason(
                 "no_room_for_gang",
-                "${machines.size} machines take work, " +
-                    "the round placed ${round.assumed} of ${job.spec.taskCount} tasks",
+                "a placement round over ${machines.size} schedulable machines " +
+                    "placed ${round.assumed} of ${job.spec.taskCount} tasks",
             )
             !job.isGang && fitting == 0 ->
-                JobReason("no_room", "none of ${machines.size} machines that take work has room for a task")
+                JobReason("no_room", "none of ${machines.size} schedulable machines has free resources for a task")
             else -> JobReason(
                 "turn",
-                "there is room for $fitting tasks: others go first, or the placement is on its way",
+                "the free resources fit $fitting tasks: other jobs have precedence, or the placement is in progress",
             )
         }
     }
 
-    /** The machines of a known type, with what their placed tasks leave free. */
+    /** Returns the machines of known types with the resources that their placed tasks leave free. */
     private fun candidates(machines: List<Machine>): List<PlacementCandidate> {
         val used = usedByMachine()
         return machines.mapNotNull { machine ->
--- a/src/main/kotlin/flaxfield/operator/WaitReasonText.kt
+++ b/src/main/kotlin/flaxfield/operator/WaitReasonText.kt
@@ -4,9 +4,9 @@
 import flaxfield.drain.RepeatPolicy
 import flaxfield.drain.WaitReason
 
-/** Codes and descriptions of wait reasons, as operators and their scripts see them; part of the contract. */
+/** The codes and descriptions of wait reasons. The codes are part of the operators' API. */
 object WaitReasonText {
-    /** A stable code for scripts. */
+    /** Returns a stable code for scripts. */
     fun code(reason: WaitReason): String = when (reason) {
         is WaitReason.WithoutConfig -> "without_fleet_file"
         is WaitReason.RestartForbidden -> "no_repeat"
@@ -20,29 +20,29 @@
         is WaitReason.CordonLimitReached -> "most_cordoned"
     }
 
-    /** A description for people. */
+    /** Returns a description for people. */
     fun detail(reason: WaitReason): String = when (reason) {
         is WaitReason.WithoutConfig -> "controllers without a fleet file: ${reason.members.joinToString()}"
         is WaitReason.RestartForbidden ->
-            "${reason.job} of class ${reason.jobClass} ends by itself: the class is repeated ${repeated(reason.policy)}"
+            "${reason.job} must run to completion: class ${reason.jobClass} ${restartRule(reason.policy)}"
         is WaitReason.LargerThanBudget ->
-            "${reason.job} takes ${amount(reason.cost)}, " +
-                "all that team ${reason.team} may lack is ${amount(reason.allowed)}"
+            "${reason.job} uses ${amount(reason.cost)}, " +
+                "but the budget of team ${reason.team} is only ${amount(reason.allowed)}"
         is WaitReason.BudgetExhausted ->
-            "team ${reason.team} lacks ${amount(reason.unavailable)} of ${amount(reason.allowed)}, " +
-                "the next step takes ${amount(reason.cost)}"
-        is WaitReason.OlderDrainFirst -> "drain ${reason.drain} waits for the budget of team ${reason.team}"
-        is WaitReason.Stopping -> "${reason.tasks} tasks have been told to stop"
+            "team ${reason.team} has ${amount(reason.unavailable)} unavailable " +
+                "of a budget of ${amount(reason.allowed)}; the next eviction needs ${amount(reason.cost)}"
+        is WaitReason.OlderDrainFirst -> "the older drain ${reason.drain} waits for the budget of team ${reason.team}"
+        is WaitReason.Stopping -> "${reason.tasks} tasks are being stopped"
         is WaitReason.GangInTransition -> "gang ${reason.job} is being stopped or started"
-        is WaitReason.NotReporting -> "its worker is ${reason.state.name.lowercase()}"
-        is WaitReason.LedgerFull -> "the ledger of team ${reason.team} holds ${reason.entries} tasks"
-        is WaitReason.CordonLimitReached -> "${reason.limit} machines are kept from new work already"
+        is WaitReason.NotReporting -> "the health of the machine is ${reason.state.name.lowercase()}"
+        is WaitReason.LedgerFull -> "the ledger of team ${reason.team} is full (${reason.entries} tasks)"
+        is WaitReason.CordonLimitReached -> "the limit of ${reason.limit} cordoned machines is reached"
     }
 
-    private fun repeated(policy: RepeatPolicy) = when (policy) {
-        RepeatPolicy.NEVER -> "never"
-        RepeatPolicy.CHECKPOINTED -> "from checkpoints only, and the job saves none"
-        RepeatPolicy.ANY -> "at any time"
+    private fun restartRule(policy: RepeatPolicy) = when (policy) {
+        RepeatPolicy.NEVER -> "is never restarted"
+        RepeatPolicy.CHECKPOINTED -> "is restarted from checkpoints only, and the job writes none"
+        RepeatPolicy.ANY -> "may be restarted at any time"
     }
 
     private fun amount(capacity: Capacity) =
--- a/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
@@ -11,18 +11,18 @@
 import flaxfield.zones.TeamShareCalculator
 import flaxfield.zones.ZoneRecord
 
-/** Pure: the zones of one snapshot as operators see them. The same on each controller at the same revision. */
+/** Builds the responses about zones from one snapshot. Pure: all controllers give the same response at a revision. */
 class ZoneResponses(private val snapshot: FleetSnapshot, private val teams: Map<String, Team>) {
     private val rules = FleetZoneRules { snapshot }
     private val guard = RepeatGuard(rules) { snapshot.zones[it] }
 
-    /** All zones that machines may be in, by name. */
+    /** Returns all zones in which machines are offered or that have a record, sorted by name. */
     fun zones(): List<Zone> {
-        val offered = snapshot.machineTypes.values.flatMap { it.zones }
-        return (offered + snapshot.zones.keys).toSortedSet().map(::zoneMessage)
+        val offeredZones = snapshot.machineTypes.values.flatMap { it.zones }
+        return (offeredZones + snapshot.zones.keys).toSortedSet().map(::zoneMessage)
     }
 
-    /** The zone called [name], or null. */
+    /** Returns the zone called [name], or null if it does not exist. */
     fun zone(name: String): Zone? = zones().firstOrNull { it.name == name }
 
     private fun zoneMessage(name: String): Zone {
@@ -36,12 +36,12 @@
             .setSinceMs(record.sinceMs)
             .setMachines(machines.size)
             .setOpenMachines(minOf(ReturnRamp.limit(record) ?: machines.size, machines.size))
-            .addAllHeld(held(name, machines.mapTo(HashSet()) { it.name }))
+            .addAllHeld(heldTasks(name, machines.mapTo(HashSet()) { it.name }))
             .addAllAbandoned(abandoned.map { it.jobClass }.sorted())
             .build()
     }
 
-    private fun held(zone: String, machines: Set<String>): List<HeldTasks> {
+    private fun heldTasks(zone: String, machines: Set<String>): List<HeldTasks> {
         val byClass = sortedMapOf<String, Int>()
         for (job in snapshot.jobs.values) {
             if (!guard.isHeld(job, zone)) continue
@@ -51,7 +51,7 @@
         return byClass.map { (jobClass, tasks) -> HeldTasks.newBuilder().setJobClass(jobClass).setTasks(tasks).build() }
     }
 
-    /** How each team's capacity compares with its fair share. */
+    /** Returns each team's capacity and its fair share. */
     fun shares(): List<FairShare> = TeamShareCalculator(snapshot, teams, rules).shares().map { share ->
         FairShare.newBuilder()
             .setTeam(share.team)
--- a/src/test/kotlin/flaxfield/cli/ClassDataArchiveTest.kt
+++ b/src/test/kotlin/flaxfield/cli/ClassDataArchiveTest.kt
@@ -4,7 +4,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** The JVM ignores a stale archive silently, and a start then takes 0.7 s of a core instead of 0.3. */
+/** The JVM ignores a stale archive without a message, and startup then takes 0.7 s of CPU time instead of 0.3 s. */
 class ClassDataArchiveTest {
     @ParameterizedTest
     @CsvSource(
@@ -16,7 +16,7 @@
         "'', true",
         ", true",
     )
-    fun `a process without an archive says so`(vmInfo: String?, warns: Boolean) {
+    fun `warns if no class-data archive is in use`(vmInfo: String?, warns: Boolean) {
         assertEquals(warns, ClassDataArchive.warning(vmInfo) != null)
     }
 }
--- a/src/test/kotlin/flaxfield/cli/CommandLineTest.kt
+++ b/src/test/kotlin/flaxfield/cli/CommandLineTest.kt
@@ -7,7 +7,7 @@
 
 class CommandLineTest {
     @Test
-    fun `the command line takes serve with its files and refuses the rest`() {
+    fun `accepts serve with its options and rejects missing, incomplete and unknown arguments`() {
         val serve = commandLine().parseArgs("serve", "--properties", "p", "--config", "f").subcommand()
         assertEquals("f", serve.matchedOptionValue("--config", ""))
         for (args in listOf(
--- a/src/test/kotlin/flaxfield/codec/CborTest.kt
+++ b/src/test/kotlin/flaxfield/codec/CborTest.kt
@@ -6,7 +6,7 @@
 
 class CborTest {
     @Test
-    fun `counts up to 2^64-1 survive a round trip`() {
+    fun `an unsigned integer up to 2^64-1 survives a round trip`() {
         for (n in listOf(
             0uL,
             1uL,
@@ -21,7 +21,7 @@
     }
 
     @Test
-    fun `negative and broken numbers are no counts`() {
+    fun `negative, fractional and non-numeric values are not unsigned integers`() {
         for (n in listOf(-1L, Long.MIN_VALUE, -1.0, 1.5, Double.NaN, "7", true, null)) {
             assertEquals(null, Cbor.decode(Cbor.encode(mapOf("n" to n))).unsigned("n"), n.toString())
         }
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `what is no map is refused`() {
+    fun `rejects bytes that are not exactly one map`() {
         val bodies = listOf(
             byteArrayOf(),
             byteArrayOf(0x01),
@@ -38,6 +38,6 @@
             Cbor.encode(mapOf("a" to 1)) + byteArrayOf(0x00),
             "{}".toByteArray(),
         )
-        for (b in bodies) assertThrows<MalformedException> { Cbor.decode(b) }
+        for (body in bodies) assertThrows<MalformedException> { Cbor.decode(body) }
     }
 }
--- a/src/test/kotlin/flaxfield/codec/MapReaderTest.kt
+++ b/src/test/kotlin/flaxfield/codec/MapReaderTest.kt
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.assertThrows
 
 /**
- * Two ways lead from bytes to messages: a tree, and field by field. A field that one takes and the other refuses would
- * be a trap.
+ * Messages are decoded either as a tree or by streaming. Guards against a value that one of the two accepts and the
+ * other rejects.
  */
 class MapReaderTest {
     private val values = listOf(
@@ -22,60 +22,60 @@
         ),
     )
 
-    private class Seen(val text: String?, val flag: Boolean?, val number: Double?, val count: ULong?)
+    private class FieldValue(val text: String?, val boolean: Boolean?, val number: Double?, val unsigned: ULong?)
 
-    private fun fields(bytes: ByteArray): Map<String, Seen> = buildMap {
+    private fun readFields(bytes: ByteArray): Map<String, FieldValue> = buildMap {
         Cbor.read(bytes) { map ->
-            map.forEachField { put(it, Seen(map.text(), map.boolean(), map.number(), map.unsigned())) }
+            map.forEachField { put(it, FieldValue(map.text(), map.boolean(), map.number(), map.unsigned())) }
         }
     }
 
     @Test
-    fun `each value reads as it does from a tree`() {
+    fun `each value is read as from a decoded tree`() {
         val map = values.withIndex().associate { (i, v) -> "field $i" to v }
         val bytes = Cbor.encode(map)
         val tree = Cbor.decode(bytes)
-        val read = fields(bytes)
+        val read = readFields(bytes)
         assertEquals(map.keys, read.keys)
-        for ((name, seen) in read) {
-            assertEquals(tree.text(name), seen.text, name)
-            assertEquals(tree.boolean(name), seen.flag, name)
-            assertEquals(tree.number(name), seen.number, name)
-            assertEquals(tree.unsigned(name), seen.count, name)
+        for ((name, value) in read) {
+            assertEquals(tree.text(name), value.text, name)
+            assertEquals(tree.boolean(name), value.boolean, name)
+            assertEquals(tree.number(name), value.number, name)
+            assertEquals(tree.unsigned(name), value.unsigned, name)
         }
     }
 
     @Test
-    fun `lists give their maps and nothing else`() {
-        for (v in values) {
-            val bytes = Cbor.encode(mapOf("before" to v, "list" to v, "after" to 1))
-            val found = ArrayList<Double?>()
+    fun `the maps of a list are read and its other items are skipped`() {
+        for (value in values) {
+            val bytes = Cbor.encode(mapOf("before" to value, "list" to value, "after" to 1))
+            val read = ArrayList<Double?>()
             var after: ULong? = null
             Cbor.read(bytes) { map ->
                 map.forEachField { name ->
-                    if (name == "list") map.forEachMap { map.forEachField { found += map.number() } }
+                    if (name == "list") map.forEachMap { map.forEachField { read += map.number() } }
                     if (name == "after") after = map.unsigned()
                 }
             }
             assertEquals(
-                Cbor.decode(bytes).mapList("list").flatMap { o ->
-                    o.map.keys.map { o.number(it) }
+                Cbor.decode(bytes).mapList("list").flatMap { item ->
+                    item.map.keys.map { item.number(it) }
                 },
-                found,
-                v.toString(),
+                read,
+                value.toString(),
             )
-            assertEquals(1uL, after, v.toString())
+            assertEquals(1uL, after, value.toString())
         }
     }
 
     @Test
-    fun `what is no whole map is refused`() {
-        val whole = Cbor.encode(mapOf("a" to listOf(mapOf("b" to 1))))
-        val bodies = listOf(byteArrayOf(), byteArrayOf(0x01), byteArrayOf(0x80.toByte()), whole + byteArrayOf(0x00)) +
-            (1 until whole.size).map { whole.copyOf(it) }
-        for (b in bodies) {
-            assertThrows<MalformedException>(b.joinToString()) {
-                Cbor.read(b) { map -> map.forEachField { map.forEachMap { } } }
+    fun `rejects bytes that are not exactly one complete map`() {
+        val document = Cbor.encode(mapOf("a" to listOf(mapOf("b" to 1))))
+        val bodies = listOf(byteArrayOf(), byteArrayOf(0x01), byteArrayOf(0x80.toByte()), document + byteArrayOf(0x00)) +
+            (1 until document.size).map { document.copyOf(it) }
+        for (body in bodies) {
+            assertThrows<MalformedException>(body.joinToString()) {
+                Cbor.read(body) { map -> map.forEachField { map.forEachMap { } } }
             }
         }
     }
--- a/src/test/kotlin/flaxfield/net/ConnectionLimitsTest.kt
+++ b/src/test/kotlin/flaxfield/net/ConnectionLimitsTest.kt
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Workers and users of the last controller left must not exhaust `fd_limit` together. */
+/** Guards against the failure that workers and users together exhaust `fd_limit` when only one controller is left. */
 class ConnectionLimitsTest {
     private val closed = ArrayList<String>()
     private val connections =
@@ -21,37 +21,40 @@
     private fun user(name: String, now: Long = 0) = connections.opened(name, now) && connections.requestReceived(name, isUser = true, now)
 
     @Test
-    fun `shares of the smallest and the largest limits leave room for a worker each and for ourselves`() {
+    fun `quotas leave a connection for each machine's worker and sockets for the process itself`() {
         for ((sockets, machines) in listOf(1667 to 1480, 3057 to 1662, 1200 to 1071)) {
-            val s = ConnectionQuotas.of(sockets)
-            assertTrue(s.incoming - s.reservedForUsers >= machines, "$sockets sockets, $machines machines: $s")
-            assertTrue(s.incoming + s.direct + 24 <= sockets, "$s")
+            val quotas = ConnectionQuotas.of(sockets)
+            assertTrue(
+                quotas.incoming - quotas.reservedForUsers >= machines,
+                "$sockets sockets, $machines machines: $quotas",
+            )
+            assertTrue(quotas.incoming + quotas.direct + 24 <= sockets, "$quotas")
         }
         assertEquals(1, ConnectionQuotas.of(1).incoming)
     }
 
     @Test
-    fun `users have their part, and idle ones of them make way`() {
+    fun `a new user replaces an idle one, and is rejected if no user is idle`() {
         for (k in 1..4) assertTrue(user("u$k"))
         connections.responseSent("u2")
-        assertTrue(user("u5"), "u2 is idle and makes way")
+        assertTrue(user("u5"), "u2 is idle and is closed")
         assertEquals(listOf("u2"), closed)
-        assertFalse(user("u6"), "the others wait for an answer")
-        assertEquals(4, connections.users)
+        assertFalse(user("u6"), "the other users wait for a response")
+        assertEquals(4, connections.userCount)
     }
 
     @Test
-    fun `workers come before users when the limit is near`() {
+    fun `workers replace idle users at the connection limit`() {
         for (k in 1..4) user("u$k")
         for (k in 1..4) connections.responseSent("u$k")
         for (k in 1..10) assertTrue(worker("w$k"), "w$k")
         assertEquals(10, connections.size)
-        assertFalse(worker("w11"), "nobody is left to make way")
+        assertFalse(worker("w11"), "no idle user is left to close")
         assertEquals(listOf("u1", "u2", "u3", "u4"), closed)
     }
 
     @Test
-    fun `what is silent for too long is closed`() {
+    fun `closes connections that have been idle for too long`() {
         worker("w1", 10)
         worker("w2", 20)
         user("u1", 30)
@@ -59,6 +62,6 @@
         connections.closeIdle(35)
         assertEquals(listOf("w2", "u1"), closed)
         assertEquals(1, connections.size)
-        assertEquals(0, connections.users)
+        assertEquals(0, connections.userCount)
     }
 }
--- a/src/test/kotlin/flaxfield/net/SingleUseResponderTest.kt
+++ b/src/test/kotlin/flaxfield/net/SingleUseResponderTest.kt
@@ -5,8 +5,8 @@
 
 class SingleUseResponderTest {
     @Test
-    fun `a request is answered once`() {
-        // On a persistent connection a client takes a second response for that to its next request.
+    fun `drops a second response to the same request`() {
+        // On a persistent connection, the client would take the second response for that to its next request.
         val sent = ArrayList<Int>()
         val responder = SingleUseResponder { status, _, _ -> sent += status }
         responder.send(503, Body.EMPTY, 1)
--- a/src/test/kotlin/flaxfield/operator/FleetFilesTest.kt
+++ b/src/test/kotlin/flaxfield/operator/FleetFilesTest.kt
@@ -19,10 +19,10 @@
 
     private fun parse(text: String) = FleetFiles.parse(text, settings) { it }
 
-    private fun faults(text: String) = assertThrows<FleetFileException> { parse(text) }.faults
+    private fun errors(text: String) = assertThrows<FleetFileException> { parse(text) }.errors
 
     @Test
-    fun `a file is read, with defaults for what it leaves out`() {
+    fun `parses a file and applies defaults to the fields that it omits`() {
         val file = parse(
             """{"version": 1, "listen": "10.0.0.1:9443", "default_budget": {"percent": 10},
                "budgets": {"red": {"cpus": 16, "accelerators": 4.5}}, "classes": {"deed": "never"},
@@ -38,14 +38,14 @@
     }
 
     @Test
-    fun `the file under deploy is a good one`() {
+    fun `accepts the fleet file of the deployment`() {
         val file = parse(File("deploy/fleet.json").readText())
         assertEquals(BudgetLimit.Percent(10.0), file.config.defaultBudget)
     }
 
     @Test
-    fun `every fault is named with its path`() {
-        val all = faults(
+    fun `reports each error with the path of its field`() {
+        val allErrors = errors(
             """{"version": 2, "listen": "here", "default_budget": {"percent": 101}, "surge_machines": -1, "colour": "red",
                "budgets": {"green": {"percent": 5}}, "classes": {"night": "any", "deed": "often"},
                "recovery_tiers": {"early": 1, "deed": 10}}""",
@@ -62,12 +62,12 @@
             "$.recovery_tiers.early",
             "$.recovery_tiers.deed",
         )) {
-            assertTrue(all.any { path in it }, "$path in $all")
+            assertTrue(allErrors.any { path in it }, "$path in $allErrors")
         }
         for ((text, path) in mapOf("[]" to "$", "{" to "not JSON", """{"version": 1}""" to "listen")) {
-            assertTrue(faults(text).any { path in it }, "$text: ${faults(text)}")
+            assertTrue(errors(text).any { path in it }, "$text: ${errors(text)}")
         }
-        val port = faults("""{"version": 1, "listen": "10.0.0.1:99999", "default_budget": {"percent": 1}}""")
-        assertEquals(listOf("$.listen: '10.0.0.1:99999' is not host:port"), port)
+        val portErrors = errors("""{"version": 1, "listen": "10.0.0.1:99999", "default_budget": {"percent": 1}}""")
+        assertEquals(listOf("$.listen: '10.0.0.1:99999' is not host:port"), portErrors)
     }
 }
--- a/src/test/kotlin/flaxfield/operator/OperatorEndToEndTest.kt
+++ b/src/test/kotlin/flaxfield/operator/OperatorEndToEndTest.kt
@@ -28,7 +28,7 @@
 import java.io.PrintStream
 import com.google.protobuf.Message as ProtoMessage
 
-/** The client's commands against three controllers of this process, with their outside on loopback. */
+/** Runs the client's commands against three controllers in this process; their external services are on loopback. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 @TestMethodOrder(MethodOrderer.OrderAnnotation::class)
 class OperatorEndToEndTest {
@@ -50,12 +50,12 @@
         }
         world.start()
         world.post { for (n in 1..6) world.submit(job(n), n) }
-        await("tasks run") { world.taskStarts() >= 12 }
-        await("all files are published") { client("budget", "list").code == ExitCode.OK.number }
+        await("12 task starts") { world.taskStarts() >= 12 }
+        await("publication of all fleet files") { client("budget", "list").code == ExitCode.OK.number }
     }
 
     @AfterAll
-    fun end() = world.outage(false)
+    fun restoreStateService() = world.outage(false)
 
     private fun job(number: Int): JobSpec = Samples.spec(
         id = "job-$number",
@@ -65,24 +65,24 @@
         preemptible = false,
     ).copy(expectedRuntimeS = 600.0, checkpointDurationS = 1.0, imageGb = 0.1)
 
-    private fun await(what: String, over: () -> Boolean) {
-        val untilNs = System.nanoTime() + AWAIT_S * 1_000_000_000L
-        while (!over()) {
-            check(System.nanoTime() < untilNs) { "$what: not within $AWAIT_S s" }
+    private fun await(event: String, condition: () -> Boolean) {
+        val untilNs = System.nanoTime() + AWAIT_TIMEOUT_S * 1_000_000_000L
+        while (!condition()) {
+            check(System.nanoTime() < untilNs) { "no $event within $AWAIT_TIMEOUT_S s" }
             Thread.sleep(200)
         }
     }
 
-    /** Runs a command in this process, against all nodes unless [ask] names some. */
-    private fun client(vararg words: String, ask: List<LoopbackNode> = nodes): Result {
-        val endpoints = ask.flatMap { listOf("--endpoint", "127.0.0.1:${it.operatorPort}") }
+    /** Runs a command in this process against the controllers [targets]. */
+    private fun client(vararg words: String, targets: List<LoopbackNode> = nodes): Result {
+        val endpoints = targets.flatMap { listOf("--endpoint", "127.0.0.1:${it.operatorPort}") }
         return run(words.toList() + endpoints)
     }
 
     private fun run(words: List<String>): Result {
         val out = ByteArrayOutputStream()
         val err = ByteArrayOutputStream()
-        val before = System.out to System.err
+        val originalStreams = System.out to System.err
         System.setOut(PrintStream(out, true))
         System.setErr(PrintStream(err, true))
         val startNs = System.nanoTime()
@@ -90,12 +90,12 @@
             val code = OperatorCommands.run(words.toTypedArray())
             return Result(code, out.toString(), err.toString(), (System.nanoTime() - startNs) / 1_000_000)
         } finally {
-            System.setOut(before.first)
-            System.setErr(before.second)
+            System.setOut(originalStreams.first)
+            System.setErr(originalStreams.second)
         }
     }
 
-    private fun <B : ProtoMessage.Builder> json(result: Result, into: B): B {
+    private fun <B : ProtoMessage.Builder> parseJson(result: Result, into: B): B {
         assertEquals(ExitCode.OK.number, result.code, result.err)
         JsonFormat.parser().merge(result.out, into)
         return into
@@ -103,30 +103,30 @@
 
     @Test
     @Order(1)
-    fun `each node gives the same answer at the same revision, within a second`() {
+    fun `all controllers give the same answer at the same revision within a second`() {
         val machines = nodes.map { node ->
-            json(client("machines", "list", "--output", "json", ask = listOf(node)), MachineList.newBuilder())
+            parseJson(client("machines", "list", "--output", "json", targets = listOf(node)), MachineList.newBuilder())
         }
-        val byRevision = machines.groupBy { it.revision }.values
-        for (same in byRevision) assertEquals(1, same.map { it.build() }.distinct().size)
+        val sameRevision = machines.groupBy { it.revision }.values
+        for (same in sameRevision) assertEquals(1, same.map { it.build() }.distinct().size)
         assertTrue(machines.all { it.machinesCount > 0 })
         val newest = machines.maxOf { it.revision }
         val result = client("budget", "list", "--output", "json", "--at-least", newest.toString())
-        val budgets = json(result, BudgetList.newBuilder())
+        val budgets = parseJson(result, BudgetList.newBuilder())
         assertTrue(budgets.revision >= newest)
         assertEquals(listOf("blue", "red"), budgets.budgetsList.map { it.team })
         assertEquals(8.0, budgets.budgetsList.first { it.team == "red" }.allowed.cpus)
-        assertTrue(result.ms < SECOND_MS, "${result.ms} ms")
-        val zones = nodes.map { json(client("zone", "list", "--output", "json", ask = listOf(it)), ZoneList.newBuilder()) }
+        assertTrue(result.ms < MAX_COMMAND_MS, "${result.ms} ms")
+        val zones = nodes.map { parseJson(client("zone", "list", "--output", "json", targets = listOf(it)), ZoneList.newBuilder()) }
         assertTrue(zones.all { z -> z.zonesList.map { "${it.name} ${it.state}" } == listOf("a healthy", "b healthy") }, "$zones")
         for (same in zones.groupBy { it.revision }.values) assertEquals(1, same.map { it.build() }.distinct().size)
-        val explained = json(client("explain", "job", "job-1", "--output", "json"), JobExplanation.newBuilder())
+        val explained = parseJson(client("explain", "job", "job-1", "--output", "json"), JobExplanation.newBuilder())
         assertEquals("running" to "placed", explained.state to explained.reason)
     }
 
     @Test
     @Order(2)
-    fun `bad input is named in one line, with its exit code, and orders nothing`() {
+    fun `invalid input is reported in one line with its exit code and has no effect`() {
         val cases = listOf(
             Triple(listOf("drain", "start", "--machine", "host-999999"), ExitCode.NOT_FOUND, "no machine host-999999"),
             Triple(listOf("drain", "start", "--type", "tiny"), ExitCode.NOT_FOUND, "no machine type tiny"),
@@ -152,27 +152,28 @@
             assertEquals(code.number, result.code, "$words: ${result.err}")
             assertTrue(text in result.err, "$words: ${result.err}")
             assertEquals(1, result.err.trim().lines().size, result.err)
-            assertTrue(result.ms < SECOND_MS, "$words took ${result.ms} ms")
+            assertTrue(result.ms < MAX_COMMAND_MS, "$words took ${result.ms} ms")
         }
-        assertEquals(0, json(client("drain", "list", "--output", "json"), DrainList.newBuilder()).drainsCount)
-        val nobody = run(listOf("drain", "list", "--endpoint", "127.0.0.1:1"))
-        assertEquals(ExitCode.UNREACHABLE.number, nobody.code, nobody.err)
+        assertEquals(0, parseJson(client("drain", "list", "--output", "json"), DrainList.newBuilder()).drainsCount)
+        val unreachable = run(listOf("drain", "list", "--endpoint", "127.0.0.1:1"))
+        assertEquals(ExitCode.UNREACHABLE.number, unreachable.code, unreachable.err)
     }
 
     @Test
     @Order(3)
-    fun `an order is taken once, by any node, and runs to done`() {
+    fun `a drain that is ordered repeatedly on several controllers runs once and ends as done`() {
         val words = arrayOf("drain", "start", "--id", "d-1", "--zone", "a", "--output", "json")
-        val first = json(client(*words, ask = listOf(nodes[0])), DrainReply.newBuilder())
-        // A repeat, at another node, that has seen the first.
-        await("the order is known everywhere") {
-            client("drain", "show", "d-1", "--at-least", first.revision.toString(), ask = listOf(nodes[1])).code == ExitCode.OK.number
+        val first = parseJson(client(*words, targets = listOf(nodes[0])), DrainReply.newBuilder())
+        // Repeats the order on another controller after it has read the first one.
+        await("replication of the order") {
+            client("drain", "show", "d-1", "--at-least", first.revision.toString(), targets = listOf(nodes[1])).code == ExitCode.OK.number
         }
-        assertEquals(ExitCode.OK.number, client(*words, ask = listOf(nodes[1])).code)
-        val other = client("drain", "start", "--id", "d-1", "--zone", "b", ask = listOf(nodes[1]))
+        assertEquals(ExitCode.OK.number, client(*words, targets = listOf(nodes[1])).code)
+        val other = client("drain", "start", "--id", "d-1", "--zone", "b", targets = listOf(nodes[1]))
         assertEquals(ExitCode.CONFLICT.number, other.code, other.err)
-        val waited = client("drain", "start", "--id", "d-1", "--zone", "a", "--wait", "--timeout", AWAIT_S.toString(), "--output", "json")
-        val done = json(waited, DrainReply.newBuilder())
+        val waited =
+            client("drain", "start", "--id", "d-1", "--zone", "a", "--wait", "--timeout", AWAIT_TIMEOUT_S.toString(), "--output", "json")
+        val done = parseJson(waited, DrainReply.newBuilder())
         assertEquals("done", done.drain.state)
         assertEquals(0, done.drain.remaining)
         assertTrue(done.drain.target > 0)
@@ -182,23 +183,23 @@
 
     @Test
     @Order(4)
-    fun `while the state service is out reads go on and orders are refused at once`() {
+    fun `during an outage of the state service, reads are answered and orders are refused at once`() {
         world.outage(true)
-        Thread.sleep(OUTAGE_KNOWN_MS)
+        Thread.sleep(OUTAGE_DETECTION_MS)
         val order = client("drain", "start", "--zone", "b")
         val read = client("drain", "list")
         world.outage(false)
         assertEquals(ExitCode.NOT_NOW.number, order.code, order.err)
-        assertTrue(order.ms < SECOND_MS, "${order.ms} ms")
+        assertTrue(order.ms < MAX_COMMAND_MS, "${order.ms} ms")
         assertEquals(ExitCode.OK.number, read.code, read.err)
         assertTrue("d-1" in read.out, read.out)
     }
 
     private companion object {
-        const val AWAIT_S = 60
-        const val SECOND_MS = 1_000
+        const val AWAIT_TIMEOUT_S = 60
+        const val MAX_COMMAND_MS = 1_000
 
-        /** A quarter of a worker's lease without an answer, and some more. */
-        const val OUTAGE_KNOWN_MS = 2_500L
+        /** Longer than a quarter of a worker's lease, after which controllers detect the outage. */
+        const val OUTAGE_DETECTION_MS = 2_500L
     }
 }
