--- a/src/main/kotlin/flaxfield/operator/WaitReasonText.kt
+++ b/src/main/kotlin/flaxfield/operator/WaitReasonText.kt
@@ -24,7 +24,9 @@
     fun detail(reason: WaitReason): String = when (reason) {
         is WaitReason.WithoutConfig -> "controllers without a fleet file: ${reason.members.joinToString()}"
         is WaitReason.RestartForbidden ->
-            "${reason.job} must run to completion: class ${reason.jobClass} ${restartRule(reason.policy)}"
+            "${reason.job} must run to completion; restart policy of class ${reason.jobClass}: ${describe(
+                reason.policy,
+            )}"
         is WaitReason.LargerThanBudget ->
             "${reason.job} uses ${amount(reason.cost)}, " +
                 "but the budget of team ${reason.team} is only ${amount(reason.allowed)}"
@@ -39,10 +41,10 @@
         is WaitReason.CordonLimitReached -> "the limit of ${reason.limit} cordoned machines is reached"
     }
 
-    private fun restartRule(policy: RepeatPolicy) = when (policy) {
-        RepeatPolicy.NEVER -> "is never restarted"
-        RepeatPolicy.CHECKPOINTED -> "is restarted from checkpoints only, and the job writes none"
-        RepeatPolicy.ANY -> "may be restarted at any time"
+    private fun describe(policy: RepeatPolicy) = when (policy) {
+        RepeatPolicy.NEVER -> "never"
+        RepeatPolicy.CHECKPOINTED -> "from checkpoints only, and the job writes none"
+        RepeatPolicy.ANY -> "at any time"
     }
 
     private fun amount(capacity: Capacity) =
