--- a/src/main/kotlin/flaxfield/operator/WaitReasonText.kt
+++ b/src/main/kotlin/flaxfield/operator/WaitReasonText.kt
@@ -24,9 +24,8 @@
     fun detail(reason: WaitReason): String = when (reason) {
         is WaitReason.WithoutConfig -> "controllers without a fleet file: ${reason.members.joinToString()}"
         is WaitReason.RestartForbidden ->
-            "${reason.job} must run to completion; restart policy of class ${reason.jobClass}: ${describe(
-                reason.policy,
-            )}"
+            "${reason.job} must run to completion; " +
+                "restart policy of class ${reason.jobClass}: ${describe(reason.policy)}"
         is WaitReason.LargerThanBudget ->
             "${reason.job} uses ${amount(reason.cost)}, " +
                 "but the budget of team ${reason.team} is only ${amount(reason.allowed)}"
