--- a/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
@@ -98,7 +98,7 @@
         }
         for (command in batch) controller.handle(command)
         batch.clear()
-        controller.turn(commands.workersWaiting)
+        controller.runDueWork(commands.workersWaiting)
         outbound.flush()
     }
 
@@ -106,7 +106,7 @@
     private fun offer(request: Request) {
         val isAccepted = !isStopping && (request.path != ApiPath.HEARTBEAT || controller.acceptsHeartbeats())
         if (isAccepted && commands.offer(Command.Http(request))) return
-        controller.refused()
+        controller.countRejected()
         request.responder.send(HttpStatus.SERVICE_UNAVAILABLE, Body.EMPTY, RETRY_AFTER_S)
     }
 
--- a/src/test/kotlin/flaxfield/sim/SimController.kt
+++ b/src/test/kotlin/flaxfield/sim/SimController.kt
@@ -46,7 +46,7 @@
                 work(Work.FOLLOW_UP) {
                     if (alive()) {
                         process?.handle(Command.Run(block))
-                        process?.turn()
+                        process?.runDueWork()
                     }
                 }
             }
@@ -89,7 +89,7 @@
     fun handle(kind: Work, request: Request) = work(kind) {
         process?.apply {
             handle(Command.Http(request))
-            turn()
+            runDueWork()
         }
     }
 
@@ -114,7 +114,7 @@
 
     private fun tick(bootedRun: Int) {
         if (run != bootedRun) return
-        if (frozen == null) work(Work.TURN) { process?.turn(waitingHeartbeats()) }
+        if (frozen == null) work(Work.TURN) { process?.runDueWork(waitingHeartbeats()) }
         loop.after(maxOf(Controller.TICK_MS * SimLoop.MS, processor.behindNs)) { tick(bootedRun) }
     }
 
--- a/src/test/kotlin/flaxfield/sim/SimStore.kt
+++ b/src/test/kotlin/flaxfield/sim/SimStore.kt
@@ -132,8 +132,8 @@
     }
 
     private fun exceedsLimits(transaction: FieldMap, changes: Int, conditions: Int): Boolean {
-        val maxValue = transaction.mapList("apply").maxOfOrNull { TransactionSize.json(it.map["value"]) } ?: 0
-        val whole = TransactionSize.json(transaction.map)
+        val maxValue = transaction.mapList("apply").maxOfOrNull { TransactionSize.jsonBytes(it.map["value"]) } ?: 0
+        val whole = TransactionSize.jsonBytes(transaction.map)
         val exceeds = maxValue > limits.valueKb * KB ||
             whole > MAX_TRANSACTION_KB * KB ||
             changes > limits.txnOps ||
