--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -42,7 +42,8 @@
     private val requests = RequestRouter(modules.heartbeats, modules.jobs, readiness, ::metricsText)
     private val peerMessages = PeerMessageRouter(modules.peers, modules.heartbeats)
     private val duties = ControllerDuties(context, modules)
-    private val dutyRunner = DutyRunner(context.stats, heartbeatIntervalsNs(SLOW_DUTY_HEARTBEATS), transports.flushLate)
+    private val dutyRunner =
+        DutyRunner(context.stats, heartbeatIntervalsNs(SLOW_DUTY_HEARTBEATS), transports.flushIfOverdue)
     private val pauseDetector =
         ProcessPauseDetector(clock, settings.workers.leaseS, modules.workerHealth::onProcessPause)
     private val startupLeaseWindow = StartupLeaseWindow(context)
@@ -89,7 +90,7 @@
         val elapsedNs = System.nanoTime() - startNs
         metrics.recordRequest(RequestKind.of(request.path), elapsedNs)
         context.stats.addDutyTime(if (request.path == ApiPath.HEARTBEAT) "reports" else "users", elapsedNs)
-        transports.flushLate()
+        transports.flushIfOverdue()
     }
 
     /** The length of [count] heartbeat intervals in nanoseconds. */
--- a/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
@@ -29,7 +29,16 @@
     private val eventLoops = NioEventLoopGroup(1)
     private val outbound = OutboundQueue(eventLoops.next() as EventLoop)
     private val controller =
-        Controller(settings, operator, incarnation, Clock.System, transports(), quotas.direct, subsystem, ::post)
+        Controller(
+            settings,
+            operator,
+            incarnation,
+            Clock.System,
+            transports(),
+            quotas.directCommands,
+            subsystem,
+            ::post,
+        )
 
     @Volatile
     private var isStopping = false
@@ -40,7 +49,7 @@
         cloud = HttpClient(eventLoops, outbound, settings.cloud, CLOUD_CONNECTIONS),
         worker = { HttpClient(eventLoops, outbound, it, 1, keepAlive = false) },
         peer = { address, onMessage -> PeerClient(eventLoops, outbound, address, onMessage) },
-        flushLate = outbound::flushLate,
+        flushIfOverdue = outbound::flushIfOverdue,
     )
 
     /** Schedules [block] on the owner thread. Safe to call from any thread. */
--- a/src/main/kotlin/flaxfield/controller/ControllerTransports.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerTransports.kt
@@ -18,5 +18,5 @@
     /** Opens a connection to another controller; the second argument receives its messages. */
     val peer: (Address, (PeerMessage) -> Unit) -> PeerConnection,
     /** Flushes the outbound queue if its oldest message has waited too long. */
-    val flushLate: () -> Unit = {},
+    val flushIfOverdue: () -> Unit = {},
 )
--- a/src/main/kotlin/flaxfield/controller/DutyRunner.kt
+++ b/src/main/kotlin/flaxfield/controller/DutyRunner.kt
@@ -8,12 +8,12 @@
 
 /**
  * Runs duties and measures their time. A duty that takes longer than [slowNs] delays responses to workers, so it is
- * logged. After each duty, [flushLate] sends messages that have waited too long.
+ * logged. After each duty, [flushIfOverdue] sends messages that have waited too long.
  */
 internal class DutyRunner(
     private val stats: ControllerStats,
     private val slowNs: Long,
-    private val flushLate: () -> Unit,
+    private val flushIfOverdue: () -> Unit,
 ) {
     /** Runs [duties] in order. */
     fun runAll(duties: List<Duty>) {
@@ -31,7 +31,7 @@
         ) {
             log.info("event=slow_duty duty={} duration_ms={}", duty.name, elapsedNs / NANOS_PER_MILLI)
         }
-        flushLate()
+        flushIfOverdue()
     }
 
     private companion object {
--- a/src/main/kotlin/flaxfield/net/ConnectionQuotas.kt
+++ b/src/main/kotlin/flaxfield/net/ConnectionQuotas.kt
@@ -9,7 +9,7 @@
     /** The number of incoming connections reserved for users. */
     val reservedForUsers: Int,
     /** The maximum number of concurrent direct commands to workers. */
-    val direct: Int,
+    val directCommands: Int,
     /** The accept backlog of the listening socket: after a restart all workers connect at once. */
     val backlog: Int,
 ) {
--- a/src/main/kotlin/flaxfield/net/OutboundQueue.kt
+++ b/src/main/kotlin/flaxfield/net/OutboundQueue.kt
@@ -21,7 +21,7 @@
      * Flushes if the oldest entry has waited longer than [MAX_DELAY_NS]. Called during long batches of commands, so
      * that lease renewals and responses to workers are not delayed until the end of the batch.
      */
-    fun flushLate() {
+    fun flushIfOverdue() {
         if (pending.isNotEmpty() && System.nanoTime() - oldestNs > MAX_DELAY_NS) flush()
     }
 
--- a/src/main/kotlin/flaxfield/operator/BudgetResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/BudgetResponses.kt
@@ -1,9 +1,9 @@
 package flaxfield.operator
 
-import flaxfield.drain.UnavailabilityReason
 import flaxfield.drain.Availability
 import flaxfield.drain.FleetSnapshot
 import flaxfield.drain.TeamAvailability
+import flaxfield.drain.UnavailabilityReason
 import flaxfield.operator.v1.Budget
 import flaxfield.operator.v1.Spending
 
--- a/src/test/kotlin/flaxfield/net/ConnectionLimitsTest.kt
+++ b/src/test/kotlin/flaxfield/net/ConnectionLimitsTest.kt
@@ -10,7 +10,7 @@
     private val closed = ArrayList<String>()
     private val connections =
         ConnectionLimits<String>(
-            ConnectionQuotas(incoming = 10, users = 4, reservedForUsers = 2, direct = 1, backlog = 5),
+            ConnectionQuotas(incoming = 10, users = 4, reservedForUsers = 2, directCommands = 1, backlog = 5),
         ) {
             closed += it
         }
@@ -28,7 +28,7 @@
                 quotas.incoming - quotas.reservedForUsers >= machines,
                 "$sockets sockets, $machines machines: $quotas",
             )
-            assertTrue(quotas.incoming + quotas.direct + 24 <= sockets, "$quotas")
+            assertTrue(quotas.incoming + quotas.directCommands + 24 <= sockets, "$quotas")
         }
         assertEquals(1, ConnectionQuotas.of(1).incoming)
     }
--- a/src/test/kotlin/flaxfield/operator/OperatorEndToEndTest.kt
+++ b/src/test/kotlin/flaxfield/operator/OperatorEndToEndTest.kt
@@ -12,9 +12,9 @@
 import flaxfield.operator.v1.JobExplanation
 import flaxfield.operator.v1.MachineList
 import flaxfield.operator.v1.ZoneList
+import flaxfield.training.EnvironmentScale
 import flaxfield.training.LoopbackController
 import flaxfield.training.LoopbackEnvironment
-import flaxfield.training.EnvironmentScale
 import org.junit.jupiter.api.AfterAll
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
