--- a/src/test/kotlin/flaxfield/digest/BehaviourDigest.kt
+++ b/src/test/kotlin/flaxfield/digest/BehaviourDigest.kt
@@ -1,7 +1,7 @@
 package flaxfield.digest
 
 import flaxfield.drain.DrainSimulationTest
-import flaxfield.sim.MeetingsTest
+import flaxfield.sim.CombinedFaultsTest
 import flaxfield.sim.SimChannel
 import flaxfield.sim.SimRecorder
 import flaxfield.sim.SimulationTest
@@ -72,7 +72,7 @@
 private const val ALL_SUITES = "all"
 private val SUITES = listOf(
     SimulationTest::class.java,
-    MeetingsTest::class.java,
+    CombinedFaultsTest::class.java,
     DrainSimulationTest::class.java,
     ZoneSimulationTest::class.java,
 )
--- a/src/test/kotlin/flaxfield/drain/CapacityChecker.kt
+++ b/src/test/kotlin/flaxfield/drain/CapacityChecker.kt
@@ -33,12 +33,12 @@
     /** Called for each stop request to a task. */
     var onStopRequest: () -> Unit = {}
 
-    override fun runs(spec: JobSpec, index: Int) {
+    override fun onRunning(spec: JobSpec, index: Int) {
         running += name(spec, index)
         markAvailable(spec, index)
     }
 
-    override fun halted(spec: JobSpec, index: Int, gracePeriodS: Double) {
+    override fun onHalting(spec: JobSpec, index: Int, gracePeriodS: Double) {
         if (!isCancelled(spec.id)) stopRequests.merge(spec.id, 1, Int::plus)
         // A gang that has lost a member is stopped for that, not by a drain.
         val unavailableMembers = unavailable.filterValues { it.id == spec.id }.keys
@@ -48,9 +48,9 @@
         onStopRequest()
     }
 
-    override fun left(spec: JobSpec, index: Int) = markUnavailable(spec, index)
+    override fun onRemoved(spec: JobSpec, index: Int) = markUnavailable(spec, index)
 
-    override fun done(spec: JobSpec, index: Int) {
+    override fun onCompleted(spec: JobSpec, index: Int) {
         running -= name(spec, index)
         markAvailable(spec, index)
     }
--- a/src/test/kotlin/flaxfield/drain/DrainMeasurement.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainMeasurement.kt
@@ -12,26 +12,26 @@
 /** Measures a drain of [percent] of the machines in a simulated cluster with one task per machine. */
 private class MeasuredDrain(private val machines: Int, private val percent: Double, private val withDrain: Boolean) {
     private val taskSize = Amount(14.0, 4.0)
-    private val machinesPerTeam = machines / DrainDay.TEAMS.size
+    private val machinesPerTeam = machines / DrainScenario.TEAMS.size
 
     /**
      * The fraction of a team's capacity that may be unavailable. It is larger for small teams, since a tenth of their
      * capacity covers no single task.
      */
     private val budgetFraction = if (machinesPerTeam < SMALL_TEAM_MACHINES) BUDGET_FRACTION * 2 else BUDGET_FRACTION
-    private val budgets = DrainDay.TEAMS.associateWith {
+    private val budgets = DrainScenario.TEAMS.associateWith {
         Amount(
             taskSize.cpus * machinesPerTeam * budgetFraction,
             taskSize.gpus * machinesPerTeam * budgetFraction,
         )
     }
-    private val config = DrainDay.config(emptyMap(), surge = maxOf(2, machines / 50))
+    private val config = DrainScenario.config(emptyMap(), surge = maxOf(2, machines / 50))
         .copy(defaultBudget = BudgetLimit.Percent(budgetFraction * 100))
     private val cluster = SimCluster(
         seed = machines,
         machinesPerZone = machines,
         limits = StateLimits(maxOf(150.0, machines * 0.5), maxOf(60.0, machines * 0.05), 32.0, 24),
-        teams = DrainDay.TEAMS.map { Samples.team(it) },
+        teams = DrainScenario.TEAMS.map { Samples.team(it) },
         fleet = { if (withDrain) config else null },
     )
     private val loop = cluster.loop
@@ -40,7 +40,7 @@
 
     private fun jobs(): List<JobSpec> {
         val size = minOf(100, maxOf(1, machinesPerTeam / 3))
-        return DrainDay.TEAMS.flatMapIndexed { t, team ->
+        return DrainScenario.TEAMS.flatMapIndexed { t, team ->
             (0 until machinesPerTeam / size).map { n ->
                 Samples.spec(
                     "job-${t + 1}$n",
@@ -60,7 +60,7 @@
         for (i in cluster.controllerNames.indices) loop.after(i * 150 * SimLoop.MS) { cluster.boot(i) }
         val jobs = jobs()
         for ((n, j) in jobs.withIndex()) loop.after((2_000 + 60L * n) * SimLoop.MS, SimUser(cluster, cluster.job(j))::submit)
-        cluster.watch(1e9)
+        cluster.checkInvariantsPeriodically(1e9)
         val tasks = jobs.sumOf { it.taskCount }
         var filledS = 0.0
         while (meter.running < tasks && loop.nowS < MAX_FILL_S) loop.runUntil(loop.nowS + 1.0)
@@ -88,12 +88,18 @@
         println(
             "  stops=${meter.stops.values.sum()} of ${meter.stops.size} tasks, " +
                 "mean unavailable=%.1f s, least time within the budget=%.0f s".format(meter.meanS, minDurationS()) +
-                " leases lost=${cluster.invariants.leasesLost} violations=$violations",
+                " leases lost=${cluster.invariants.leasesExpired} violations=$violations",
         )
         println(
             "  %.1f ms of wall-clock time per simulated second for three controllers and all simulated workers; " +
                 "cloud refused %d of %d; state refused %d of %d"
-                    .format(wallMsPerSimulatedS, cluster.cloud.refused, cluster.cloud.served, cluster.store.refused, cluster.store.served),
+                    .format(
+                        wallMsPerSimulatedS,
+                        cluster.cloud.rejectedCount,
+                        cluster.cloud.requestCount,
+                        cluster.store.rejectedCount,
+                        cluster.store.requestCount,
+                    ),
         )
         val control = cluster.fleetControls.filterNotNull().firstOrNull() ?: return
         val snapshot = control.publisher.current
@@ -110,7 +116,7 @@
      * Returns the least duration of the drain within the budgets: for each team, its number of stops divided by the
      * tasks that may be unavailable at once, times the mean unavailability of a stopped task.
      */
-    private fun minDurationS(): Double = DrainDay.TEAMS.maxOf { team ->
+    private fun minDurationS(): Double = DrainScenario.TEAMS.maxOf { team ->
         val stops = meter.stops.filterKeys { cluster.specs[it.substringBefore('/')]?.team == team }.values.sum()
         val atOnce = maxOf(1, (machinesPerTeam * budgetFraction).toInt())
         stops.toDouble() / atOnce * meter.meanS
@@ -150,23 +156,23 @@
     /** The mean time for which a stopped task was unavailable. */
     val meanS: Double get() = if (restarts == 0) 0.0 else totalUnavailableS / restarts
 
-    override fun runs(spec: JobSpec, index: Int) {
+    override fun onRunning(spec: JobSpec, index: Int) {
         runningTasks += "${spec.id}/$index"
         unavailableSinceS.remove("${spec.id}/$index")?.let {
             totalUnavailableS += now() - it
             restarts++
         }
-        checker.runs(spec, index)
+        checker.onRunning(spec, index)
     }
 
-    override fun halted(spec: JobSpec, index: Int, gracePeriodS: Double) {
+    override fun onHalting(spec: JobSpec, index: Int, gracePeriodS: Double) {
         if (unavailableSinceS.putIfAbsent("${spec.id}/$index", now()) == null) stops.merge("${spec.id}/$index", 1, Int::plus)
-        checker.halted(spec, index, gracePeriodS)
+        checker.onHalting(spec, index, gracePeriodS)
     }
 
-    override fun left(spec: JobSpec, index: Int) {
+    override fun onRemoved(spec: JobSpec, index: Int) {
         runningTasks -= "${spec.id}/$index"
-        checker.left(spec, index)
+        checker.onRemoved(spec, index)
     }
 }
 
--- a/src/test/kotlin/flaxfield/drain/DrainDay.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainScenario.kt
@@ -12,15 +12,15 @@
 import flaxfield.sim.SimLoop
 import flaxfield.sim.SimUser
 
-/** The setup of one [DrainDay]. */
-data class DayPlan(
+/** The setup of one [DrainScenario]. */
+data class DrainScenarioPlan(
     val seed: Int,
-    val faults: String = "quiet",
+    val faults: String = "no-faults",
     val budgets: Map<String, Amount> = BUDGETS,
-    val configOf: (Int) -> FleetConfig? = { DrainDay.config(budgets) },
+    val configOf: (Int) -> FleetConfig? = { DrainScenario.config(budgets) },
     /** The maximum number of rented machines in each of the two zones. */
     val machinesPerZone: Int = 13,
-    val jobs: List<JobSpec> = DrainDay.jobs(),
+    val jobs: List<JobSpec> = DrainScenario.jobs(),
 ) {
     companion object {
         val BUDGETS = mapOf("red" to Amount(12.0, 3.0), "blue" to Amount(8.0, 2.0), "green" to Amount(16.0, 4.0))
@@ -28,7 +28,7 @@
 }
 
 /** A simulated cluster of about twenty workers, three teams and three controllers; the test orders the drains. */
-class DrainDay(private val plan: DayPlan) {
+class DrainScenario(private val plan: DrainScenarioPlan) {
     val cluster = SimCluster(
         plan.seed,
         plan.machinesPerZone,
@@ -79,7 +79,7 @@
     }.maxBy { it.revision }
 
     fun run(untilS: Double) {
-        if (!isWatching) cluster.watch(FAULTS_END_S)
+        if (!isWatching) cluster.checkInvariantsPeriodically(FAULTS_END_S)
         isWatching = true
         loop.runUntil(untilS)
     }
@@ -102,7 +102,7 @@
         const val FAULTS_END_S = 125.0
 
         /** Returns a fleet file with [budgets] and job classes of each repeat policy. */
-        fun config(budgets: Map<String, Amount> = DayPlan.BUDGETS, surge: Int = 2) = FleetConfig(
+        fun config(budgets: Map<String, Amount> = DrainScenarioPlan.BUDGETS, surge: Int = 2) = FleetConfig(
             incarnation = "",
             budgets = budgets.mapValues { (_, amount) -> BudgetLimit.Absolute(Capacity(amount.cpus, amount.gpus)) },
             defaultBudget = BudgetLimit.Percent(10.0),
--- a/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
@@ -21,12 +21,12 @@
     private val halfOfBig = Selector(emptySet(), "big", null, null, 50.0)
     private val zoneA = Selector(emptySet(), null, "a", null, null)
 
-    private fun twoDrains(scenario: DrainDay) {
+    private fun twoDrains(scenario: DrainScenario) {
         scenario.at(40.0) { scenario.order(DrainOrder.Start("d-1", halfOfBig), 0) }
         scenario.at(45.0) { scenario.order(DrainOrder.Start("d-2", zoneA), 1) }
     }
 
-    private fun assertDone(scenario: DrainDay, vararg drains: String) {
+    private fun assertDone(scenario: DrainScenario, vararg drains: String) {
         assertEquals(emptyList<String>(), scenario.violations())
         assertEquals(drains.map { "done" }, drains.map { scenario.phase(it) }, scenario.snapshot().drains.toString())
         assertEquals(emptyList<String>(), scenario.unfinished())
@@ -41,7 +41,7 @@
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6])
     fun `two overlapping drains never make more of a team unavailable than its budget allows`(seed: Int) {
-        val scenario = DrainDay(DayPlan(seed))
+        val scenario = DrainScenario(DrainScenarioPlan(seed))
         twoDrains(scenario)
         scenario.run(END_S)
         assertDone(scenario, "d-1", "d-2")
@@ -49,20 +49,29 @@
         // The scenario proves nothing unless each team's budget is exhausted at some point.
         val maxUnavailable = scenario.capacityChecker.maxUnavailable
         assertTrue(
-            maxUnavailable.all { (team, max) -> !DayPlan.BUDGETS.getValue(team).exceeds(max) },
+            maxUnavailable.all { (team, max) -> !DrainScenarioPlan.BUDGETS.getValue(team).exceeds(max) },
             "$maxUnavailable",
         )
     }
 
     @ParameterizedTest
     @CsvSource(
-        "11, kill", "12, handover", "13, tenleaders", "14, all", "15, away", "16, outage", "17, longoutage", "18, silent", "19, latewrites",
-        "20, lost", "21, lonelead", "22, lone", "23, freeze", "24, taken", "25, hang", "26, mute", "27, deafspell", "28, deaf",
-        "29, zone", "30, copies+fornext", "31, blink", "32, cancels", "33, behind", "34, silent+tenleaders", "35, latewrites+handover",
-        "36, outage+kill+taken", "37, lost+silent+latewrites+kill", "38, sick", "39, cut+taken+cancels", "40, slow+handover+cancelhang",
+        "11, controller-crashes", "12, leader-failovers", "13, ten-leader-failovers", "14, full-controller-restart",
+        "15, long-controller-outage", "16, store-outage", "17, long-store-outage", "18, lost-transaction-responses",
+        "19, delayed-transactions",
+        "20, lost-store-responses", "21, leader-isolation", "22, controller-isolation", "23, controller-pauses",
+        "24, machine-losses", "25, worker-hangs", "26, transient-outbound-partition", "27, transient-inbound-partition",
+        "28, inbound-partition",
+        "29, zone-partition", "30, delayed-duplicates+duplicates-at-failover", "31, restart-storm",
+        "32, repeated-cancellations", "33, cpu-starvation", "34, lost-transaction-responses+ten-leader-failovers",
+        "35, delayed-transactions+leader-failovers",
+        "36, store-outage+controller-crashes+machine-losses",
+        "37, lost-store-responses+lost-transaction-responses+delayed-transactions+controller-crashes",
+        "38, failing-machine", "39, link-partitions+machine-losses+repeated-cancellations",
+        "40, slow-store+leader-failovers+cancellation-during-worker-hangs",
     )
     fun `evictions stay within the budgets and the drains finish under injected faults`(seed: Int, faults: String) {
-        val scenario = DrainDay(DayPlan(seed, faults))
+        val scenario = DrainScenario(DrainScenarioPlan(seed, faults))
         twoDrains(scenario)
         scenario.run(LONG_END_S)
         assertDone(scenario, "d-1", "d-2")
@@ -71,7 +80,7 @@
     @ParameterizedTest
     @ValueSource(ints = [51, 52, 53])
     fun `the next leader completes an eviction after a leader crash between its commit and the stop requests`(seed: Int) {
-        val scenario = DrainDay(DayPlan(seed))
+        val scenario = DrainScenario(DrainScenarioPlan(seed))
         twoDrains(scenario)
         var kills = 0
         scenario.recordChecker.onEviction = { if (kills++ % 5 == 0) scenario.cluster.kill(scenario.cluster.leader, 4.0) }
@@ -84,7 +93,7 @@
     @ParameterizedTest
     @ValueSource(ints = [54, 55, 56])
     fun `a leader crash between stop and restart releases no ledger entry of a task that does not run`(seed: Int) {
-        val scenario = DrainDay(DayPlan(seed))
+        val scenario = DrainScenario(DrainScenarioPlan(seed))
         twoDrains(scenario)
         var stopRequests = 0
         scenario.capacityChecker.onStopRequest = { if (stopRequests++ % 9 == 0) scenario.cluster.kill(scenario.cluster.leader, 0.5) }
@@ -96,7 +105,7 @@
     @ParameterizedTest
     @ValueSource(ints = [57, 58])
     fun `evictions stay within the budgets when a store outage begins with one of them`(seed: Int) {
-        val scenario = DrainDay(DayPlan(seed))
+        val scenario = DrainScenario(DrainScenarioPlan(seed))
         twoDrains(scenario)
         var evictions = 0
         scenario.recordChecker.onEviction = {
@@ -132,7 +141,7 @@
             job("job-3", expectedRuntimeS = 160.0),
             job("job-4", jobClass = "batch", checkpointIntervalS = 0.0, expectedRuntimeS = 160.0),
         )
-        val scenario = DrainDay(DayPlan(61, jobs = jobs))
+        val scenario = DrainScenario(DrainScenarioPlan(61, jobs = jobs))
         scenario.at(30.0) { scenario.order(DrainOrder.Start("d-1", Selector(emptySet(), "big", null, null, null))) }
         scenario.run(100.0)
         val waits = DrainPlanner(scenario.snapshot()).plan().waits.getValue("d-1").values
@@ -151,7 +160,7 @@
             job("job-1", JobKind.GANG, 3, taskResources = Resources(12.0, 3.0, 40.0), expectedRuntimeS = 140.0),
             job("job-2", team = "blue", tasks = 8, expectedRuntimeS = 200.0),
         )
-        val scenario = DrainDay(DayPlan(62, jobs = jobs))
+        val scenario = DrainScenario(DrainScenarioPlan(62, jobs = jobs))
         scenario.at(30.0) { scenario.order(DrainOrder.Start("d-1", Selector(emptySet(), "big", null, null, null))) }
         scenario.run(110.0)
         val waits = DrainPlanner(scenario.snapshot()).plan().waits.getValue("d-1").values
@@ -165,8 +174,8 @@
 
     @Test
     fun `gangs are evicted as a whole and lose no checkpointed work`() {
-        val jobs = (1..4).map { job("job-$it", JobKind.GANG, 2, team = DrainDay.TEAMS[it % 3], expectedRuntimeS = 150.0) }
-        val scenario = DrainDay(DayPlan(63, jobs = jobs))
+        val jobs = (1..4).map { job("job-$it", JobKind.GANG, 2, team = DrainScenario.TEAMS[it % 3], expectedRuntimeS = 150.0) }
+        val scenario = DrainScenario(DrainScenarioPlan(63, jobs = jobs))
         scenario.at(30.0) { scenario.order(DrainOrder.Start("d-1", Selector(emptySet(), "big", null, null, null))) }
         scenario.run(END_S)
         assertEquals("done", scenario.phase("d-1"))
@@ -177,7 +186,7 @@
 
     @Test
     fun `no eviction is committed while lost tasks exhaust the budget`() {
-        val scenario = DrainDay(DayPlan(64))
+        val scenario = DrainScenario(DrainScenarioPlan(64))
         // Half of the machines terminate at once before the drain is ordered.
         scenario.at(38.0) { for (w in scenario.cluster.cloud.workers.values.filterIndexed { i, _ -> i % 2 == 0 }) w.terminate() }
         scenario.at(45.0) { scenario.order(DrainOrder.Start("d-1", zoneA)) }
@@ -190,7 +199,7 @@
 
     @Test
     fun `a termination notice during a drain is handled once and counts against the budget`() {
-        val scenario = DrainDay(DayPlan(65))
+        val scenario = DrainScenario(DrainScenarioPlan(65))
         twoDrains(scenario)
         scenario.recordChecker.onEviction = {
             val drained = scenario.snapshot().machines.values.filter { it.cordon != null }.minByOrNull { it.name }
@@ -206,7 +215,7 @@
 
     @Test
     fun `a cancelled drain uncordons its machines and a new drain evicts from them`() {
-        val scenario = DrainDay(DayPlan(66))
+        val scenario = DrainScenario(DrainScenarioPlan(66))
         scenario.at(40.0) { scenario.order(DrainOrder.Start("d-1", zoneA), 0) }
         scenario.at(50.0) { scenario.order(DrainOrder.Cancel("d-1"), 1) }
         scenario.at(51.0) { scenario.order(DrainOrder.Cancel("d-1"), 2) }
@@ -222,7 +231,7 @@
 
     @Test
     fun `a paused drain evicts nothing until it is resumed`() {
-        val scenario = DrainDay(DayPlan(67))
+        val scenario = DrainScenario(DrainScenarioPlan(67))
         scenario.at(40.0) { scenario.order(DrainOrder.Start("d-1", zoneA), 0) }
         scenario.at(46.0) { scenario.order(DrainOrder.Pause("d-1"), 1) }
         scenario.run(49.0)
@@ -240,14 +249,14 @@
     fun `the strictest budget applies while fleet files differ and nothing is evicted while one is missing`() {
         val lenientBudgets = mapOf("red" to Amount(40.0, 10.0), "blue" to Amount(40.0, 10.0), "green" to Amount(40.0, 10.0))
         // The checkers use the strict budgets, which only one of the three controllers has.
-        val configOf = { i: Int -> DrainDay.config(if (i == 1) DayPlan.BUDGETS else lenientBudgets) }
-        val scenario = DrainDay(DayPlan(68, configOf = configOf))
+        val configOf = { i: Int -> DrainScenario.config(if (i == 1) DrainScenarioPlan.BUDGETS else lenientBudgets) }
+        val scenario = DrainScenario(DrainScenarioPlan(68, configOf = configOf))
         twoDrains(scenario)
         scenario.run(END_S)
         assertDone(scenario, "d-1", "d-2")
         assertEquals(emptyList<String>(), scenario.capacityChecker.violations.take(5))
 
-        val mixed = DrainDay(DayPlan(69, configOf = { i -> if (i == 2) null else DrainDay.config() }))
+        val mixed = DrainScenario(DrainScenarioPlan(69, configOf = { i -> if (i == 2) null else DrainScenario.config() }))
         mixed.at(40.0) { mixed.order(DrainOrder.Start("d-1", zoneA), 0) }
         mixed.run(90.0)
         val waits = DrainPlanner(mixed.snapshot()).plan().waits.getValue("d-1").values
@@ -258,7 +267,7 @@
 
     @Test
     fun `a retried order gets the first result, also from another controller and after all have restarted`() {
-        val scenario = DrainDay(DayPlan(70))
+        val scenario = DrainScenario(DrainScenarioPlan(70))
         scenario.at(40.0) { scenario.order(DrainOrder.Start("d-1", halfOfBig), 0) }
         scenario.at(46.0) { for (i in 0..2) scenario.cluster.kill(i, 2.0) }
         scenario.at(60.0) { scenario.order(DrainOrder.Start("d-1", halfOfBig), 2) }
--- a/src/test/kotlin/flaxfield/sim/CancellationFaults.kt
+++ b/src/test/kotlin/flaxfield/sim/CancellationFaults.kt
@@ -16,11 +16,11 @@
         var leader = 0
         schedule.at(50.0) {
             leader = cluster.leader
-            cluster.store.refuse(leader, true)
+            cluster.store.setRejected(leader, true)
         }
         cancelRunning(50.1, 0.8, share = 0.9)
         schedule.during(51.0, cluster.cancelS * 1.5) { cluster.store.outage = it }
-        schedule.at(54.0) { cluster.store.refuse(leader, false) }
+        schedule.at(54.0) { cluster.store.setRejected(leader, false) }
     }
 
     fun whileWorkersHang() {
--- a/src/test/kotlin/flaxfield/sim/MeetingsTest.kt
+++ b/src/test/kotlin/flaxfield/sim/CombinedFaultsTest.kt
@@ -12,7 +12,7 @@
 import kotlin.random.Random
 
 /** Runs the operators' list of coinciding faults, with short and long jobs of all kinds. */
-class MeetingsTest {
+class CombinedFaultsTest {
     /**
      * Creates arrays and gangs of two teams, of which one is mostly at its GPU limit. Some jobs are bound to a zone.
      */
@@ -61,9 +61,10 @@
         "202, cancellation-before-outage, 12.5", "204, cancellation-before-outage, 12.5",
         "210, cancellation-before-outage, 12.5", "213, cancellation-before-outage, 12.5",
         "214, cancellation-before-outage, 12.5",
-        "214, cancellation-before-outage+slow, 12.5", "102, cancellation-before-outage+read-after-write, 12.5",
-        "103, cancellation-before-outage+fornext+silent, 12.5", "105, cancellation-before-outage+kill, 12.5",
-        "104, cancellation-before-outage+slow+cancels, 20",
+        "214, cancellation-before-outage+slow-store, 12.5", "102, cancellation-before-outage+read-after-write, 12.5",
+        "103, cancellation-before-outage+duplicates-at-failover+lost-transaction-responses, 12.5",
+        "105, cancellation-before-outage+controller-crashes, 12.5",
+        "104, cancellation-before-outage+slow-store+repeated-cancellations, 20",
     )
     fun `tasks of a job that another controller cancelled stop in time during a store outage`(seed: Int, faults: String, cancelS: Double) =
         run(faults, SimCluster(seed, machinesPerZone = 4, cancelS = cancelS))
@@ -71,24 +72,36 @@
     @ParameterizedTest
     @CsvSource(
         // The first seven cases of the operators' list, except the very first, which is tested above.
-        "106, read-after-write+cancels", "107, read-after-write+silent+handover+cancellation-at-completion",
-        "108, silent+handover", "109, silent+tenleaders+cancels",
-        "110, cancelhang+handover", "111, cancellation-during-worker-partition+tenleaders",
-        "112, cancelhang+cancellation-during-worker-partition+freeze",
-        "113, cancels+handover+read-after-write", "114, cancels+lone",
-        "115, failovers-during-boot+latewrites", "116, failovers-during-boot+silent+slow",
-        "117, fornext+handover", "118, fornext+copies+tenleaders+taken",
-        "119, small-job-burst", "120, small-job-burst+handover+read-after-write",
+        "106, read-after-write+repeated-cancellations",
+        "107, read-after-write+lost-transaction-responses+leader-failovers+cancellation-at-completion",
+        "108, lost-transaction-responses+leader-failovers",
+        "109, lost-transaction-responses+ten-leader-failovers+repeated-cancellations",
+        "110, cancellation-during-worker-hangs+leader-failovers",
+        "111, cancellation-during-worker-partition+ten-leader-failovers",
+        "112, cancellation-during-worker-hangs+cancellation-during-worker-partition+controller-pauses",
+        "113, repeated-cancellations+leader-failovers+read-after-write",
+        "114, repeated-cancellations+controller-isolation",
+        "115, failovers-during-boot+delayed-transactions",
+        "116, failovers-during-boot+lost-transaction-responses+slow-store",
+        "117, duplicates-at-failover+leader-failovers",
+        "118, duplicates-at-failover+delayed-duplicates+ten-leader-failovers+machine-losses",
+        "119, small-job-burst", "120, small-job-burst+leader-failovers+read-after-write",
         // The remaining cases of the operators' list.
-        "121, mute+cancels", "122, mute+handover", "123, deafspell+handover+copies", "124, latewrites+cancels+handover",
-        "125, latewrites+blink", "126, tenleaders+longoutage", "127, away", "128, away+fornext+cancels",
-        "129, zone+cancels",
-        "130, slow+cancels+read-after-write", "131, lonelead+cancels+read-after-write",
-        "132, hang+cancels+latewrites", "133, cancellation-at-completion",
-        "134, cancellation-at-completion+read-after-write+latewrites",
-        "135, taken+cancellation-during-worker-partition", "136, invalid-requests",
-        "137, invalid-requests+small-job-burst+handover", "138, longoutage+cancelhang",
-        "139, blink+fornext+silent+read-after-write",
+        "121, transient-outbound-partition+repeated-cancellations",
+        "122, transient-outbound-partition+leader-failovers",
+        "123, transient-inbound-partition+leader-failovers+delayed-duplicates",
+        "124, delayed-transactions+repeated-cancellations+leader-failovers",
+        "125, delayed-transactions+restart-storm", "126, ten-leader-failovers+long-store-outage",
+        "127, long-controller-outage", "128, long-controller-outage+duplicates-at-failover+repeated-cancellations",
+        "129, zone-partition+repeated-cancellations",
+        "130, slow-store+repeated-cancellations+read-after-write",
+        "131, leader-isolation+repeated-cancellations+read-after-write",
+        "132, worker-hangs+repeated-cancellations+delayed-transactions", "133, cancellation-at-completion",
+        "134, cancellation-at-completion+read-after-write+delayed-transactions",
+        "135, machine-losses+cancellation-during-worker-partition", "136, invalid-requests",
+        "137, invalid-requests+small-job-burst+leader-failovers",
+        "138, long-store-outage+cancellation-during-worker-hangs",
+        "139, restart-storm+duplicates-at-failover+lost-transaction-responses+read-after-write",
     )
     fun `invariants hold when faults coincide`(seed: Int, faults: String) = run(faults, SimCluster(seed, machinesPerZone = 4))
 
@@ -98,15 +111,20 @@
      */
     @ParameterizedTest
     @CsvSource(
-        "201, behind", "202, behind+cancellation-before-outage", "203, behind+all",
-        "204, behind+read-after-write+silent", "205, behind+handover+cancels", "206, behind+latewrites",
-        "207, behind+tenleaders+cancels", "208, behind+cancelhang+cancellation-during-worker-partition",
-        "209, behind+failovers-during-boot",
-        "210, behind+fornext+copies",
-        "211, behind+small-job-burst", "212, behind+mute+handover", "213, behind+zone+cancels", "214, behind+away",
-        "215, behind+invalid-requests+read-after-write",
-        "216, behind+longoutage", "217, behind+blink", "218, behind+freeze+taken", "219, behind+slow+cancels",
-        "220, behind+lone",
+        "201, cpu-starvation", "202, cpu-starvation+cancellation-before-outage",
+        "203, cpu-starvation+full-controller-restart",
+        "204, cpu-starvation+read-after-write+lost-transaction-responses",
+        "205, cpu-starvation+leader-failovers+repeated-cancellations", "206, cpu-starvation+delayed-transactions",
+        "207, cpu-starvation+ten-leader-failovers+repeated-cancellations",
+        "208, cpu-starvation+cancellation-during-worker-hangs+cancellation-during-worker-partition",
+        "209, cpu-starvation+failovers-during-boot",
+        "210, cpu-starvation+duplicates-at-failover+delayed-duplicates",
+        "211, cpu-starvation+small-job-burst", "212, cpu-starvation+transient-outbound-partition+leader-failovers",
+        "213, cpu-starvation+zone-partition+repeated-cancellations", "214, cpu-starvation+long-controller-outage",
+        "215, cpu-starvation+invalid-requests+read-after-write",
+        "216, cpu-starvation+long-store-outage", "217, cpu-starvation+restart-storm",
+        "218, cpu-starvation+controller-pauses+machine-losses", "219, cpu-starvation+slow-store+repeated-cancellations",
+        "220, cpu-starvation+controller-isolation",
     )
     fun `invariants hold when controllers lack CPU time`(seed: Int, faults: String) {
         val cluster = SimCluster(seed, machinesPerZone = 4)
@@ -121,7 +139,7 @@
      * array without checkpoints must not be preempted if other tasks could be without a loss of work.
      */
     @ParameterizedTest
-    @CsvSource("1159, behind+lone")
+    @CsvSource("1159, cpu-starvation+controller-isolation")
     fun `arrays behind gangs at the GPU limit of their team finish one task at a time`(seed: Int, faults: String) =
         run(faults, SimCluster(seed, machinesPerZone = 4), END_S + LONGEST_TASK_S)
 
@@ -132,7 +150,7 @@
         val users = jobs(cluster)
         for ((n, user) in users.withIndex()) loop.after((2_000 + 3_100L * n) * SimLoop.MS, user::submit)
         FaultInjector(cluster, users).inject(faults)
-        cluster.watch(FAULTS_END_S)
+        cluster.checkInvariantsPeriodically(FAULTS_END_S)
         loop.runUntil(endS)
         assertEquals(emptyList<String>(), invariants.violations.take(8))
         assertEquals(emptyList<String>(), cluster.store.violations)
--- a/src/test/kotlin/flaxfield/sim/ConnectionFaults.kt
+++ b/src/test/kotlin/flaxfield/sim/ConnectionFaults.kt
@@ -23,7 +23,7 @@
 
     fun loseTransactionResponses() {
         for (link in network.storeLinks) {
-            schedule.during(15.0, 90.0) { link.lostTransactionAnswerRate = if (it) 0.25 else 0.0 }
+            schedule.during(15.0, 90.0) { link.lostTransactionResponseRate = if (it) 0.25 else 0.0 }
         }
     }
 
@@ -34,7 +34,7 @@
     }
 
     fun slowStore() {
-        for (link in network.storeLinks) schedule.during(25.0, 60.0) { link.slowMs = if (it) 250L else 0L }
+        for (link in network.storeLinks) schedule.during(25.0, 60.0) { link.extraLatencyMs = if (it) 250L else 0L }
     }
 
     fun duplicateHeartbeats() = schedule.during(15.0, 95.0) { cluster.heartbeats.duplicateRate = if (it) 0.1 else 0.0 }
@@ -69,8 +69,8 @@
      */
     fun partitionZones() {
         for (link in network.storeLinks) link.buffersWhileCut = true
-        schedule.during(30.0, 14.0) { network.zoneCut = if (it) "b" else null }
-        schedule.during(70.0, 9.0) { network.zoneCut = if (it) "a" else null }
+        schedule.during(30.0, 14.0) { network.partitionedZone = if (it) "b" else null }
+        schedule.during(70.0, 9.0) { network.partitionedZone = if (it) "a" else null }
     }
 
     fun disconnectPeers() = schedule.during(40.0, 30.0) { network.peersDisconnected = it }
--- a/src/test/kotlin/flaxfield/sim/InvariantChecker.kt
+++ b/src/test/kotlin/flaxfield/sim/InvariantChecker.kt
@@ -43,7 +43,7 @@
     val checkpointedRemainingS = HashMap<TaskKey, Double>()
 
     /** The number of leases that expired on workers with tasks. */
-    var leasesLost = 0
+    var leasesExpired = 0
 
     /** The number of task starts that workers rejected for lack of resources. */
     var rejectedStarts = 0
@@ -73,19 +73,19 @@
 
     /** Records that a task has pulled its image and occupies its machine from now on. */
     fun taskStarted(id: String, task: Int, machine: SimMachine, nowS: Double) {
-        val spec = specs[id] ?: return violated("unknown_job", "$id starts")
+        val spec = specs[id] ?: return violated("invented", "$id starts")
         val key = TaskKey(id, task)
         starts++
         if (id in failingJobs) failingJobStarts++
         firstStartAt.putIfAbsent(id, nowS)
         running[key]?.let {
-            violated("concurrent_attempts", "$id/$task starts on ${machine.machineName} while on ${it.machineName}")
+            violated("ran_twice", "$id/$task starts on ${machine.machineName} while on ${it.machineName}")
         }
-        if (!mayRunOn(spec, key, machine)) violated("placement_constraint", "$id/$task starts on $machine")
+        if (!mayRunOn(spec, key, machine)) violated("wrong_place", "$id/$task starts on $machine")
         running[key] = machine
-        watcher?.starts(spec, task, machine)
+        watcher?.onStarted(spec, task, machine)
         val used = gpusInUse(spec.team)
-        if (used > gpuLimit(spec.team)) violated("quota_exceeded", "${spec.team} uses $used GPUs")
+        if (used > gpuLimit(spec.team)) violated("quota", "${spec.team} uses $used GPUs")
         cancelledAt[id]?.let { checkStartAfterCancellation(key, nowS - it) }
     }
 
@@ -103,7 +103,7 @@
 
     private fun checkStartAfterCancellation(key: TaskKey, sinceS: Double) {
         val name = "${key.jobId}/${key.index}"
-        if (sinceS > cancelS) violated("running_after_cancellation", "$name starts")
+        if (sinceS > cancelS) violated("ran_cancelled", "$name starts")
         // A task launched before the cancellation starts after its image pull. Its worker may hang for up to a lease.
         if (sinceS > leaseS) violated("started_after_cancellation", "$name starts $sinceS s after its cancellation")
     }
@@ -140,18 +140,18 @@
     fun jobAnswered(id: String, phase: String?, nowS: Double, before: String? = reportedPhases[id]) {
         val spec = specs[id]
         if (spec == null) {
-            if (phase != null) violated("unknown_job", "$id is reported as $phase")
+            if (phase != null) violated("invented", "$id is reported as $phase")
             return
         }
         acceptedAt.putIfAbsent(id, nowS)
         answeredAt[id] = nowS
         if (phase == null) {
-            if (before != null) violated("job_lost", "$id gets 404")
+            if (before != null) violated("forgotten", "$id gets 404")
             return
         }
-        if (before in FINAL_PHASES && phase != before) violated("invalid_phase_transition", "$id was $before, is $phase")
-        if (phase == ABORTED && id !in cancelRequests) violated("invalid_phase_transition", "$id is aborted without a cancellation request")
-        if (phase == DONE && completedCount(id) < spec.taskCount) violated("done_early", "$id is reported as done before its tasks")
+        if (before in FINAL_PHASES && phase != before) violated("went_back", "$id was $before, is $phase")
+        if (phase == ABORTED && id !in cancelRequests) violated("went_back", "$id is aborted without a cancellation request")
+        if (phase == DONE && completedCount(id) < spec.taskCount) violated("not_done", "$id is reported as done before its tasks")
         if (phase == ABORTED) cancelledAt.putIfAbsent(id, nowS)
         // A response that was in flight when a final phase was reported does not revert that phase.
         if (reportedPhases[id] !in FINAL_PHASES) reportedPhases[id] = phase
@@ -162,7 +162,7 @@
         for ((key, machine) in running) {
             val at = cancelledAt[key.jobId] ?: continue
             if (nowS - at <= cancelS) continue
-            violated("running_after_cancellation", "${key.jobId}/${key.index} runs on ${machine.machineName}")
+            violated("ran_cancelled", "${key.jobId}/${key.index} runs on ${machine.machineName}")
         }
     }
 
@@ -206,7 +206,7 @@
     fun checkAnswered(nowS: Double) {
         for ((id, at) in answeredAt) {
             if (reportedPhases[id] in FINAL_PHASES || nowS - at <= MAX_ANSWER_GAP_S) continue
-            violated("job_lost", "$id without a response since $at")
+            violated("forgotten", "$id without a response since $at")
             answeredAt[id] = nowS
         }
     }
--- a/src/test/kotlin/flaxfield/sim/InvariantCheckerTest.kt
+++ b/src/test/kotlin/flaxfield/sim/InvariantCheckerTest.kt
@@ -44,29 +44,29 @@
                 taskRemoved("job-1", 0, "h1")
                 taskStarted("job-1", 0, zoneBMachine, 0.0)
             },
-            "concurrent_attempts" to {
+            "ran_twice" to {
                 taskStarted("job-1", 0, zoneAMachine, 0.0)
                 taskStarted("job-1", 0, zoneAMachine, 0.0)
             },
-            "placement_constraint" to { taskStarted("job-1", 0, preemptibleMachine, 0.0) },
-            "placement_constraint" to {
+            "wrong_place" to { taskStarted("job-1", 0, preemptibleMachine, 0.0) },
+            "wrong_place" to {
                 taskStarted("job-1", 0, zoneAMachine, 0.0)
                 taskStarted("job-1", 1, zoneBMachine, 0.0)
             },
-            "placement_constraint" to { taskStarted("job-2", 0, SimMachine("h", "small", "a", false), 0.0) },
-            "placement_constraint" to {
+            "wrong_place" to { taskStarted("job-2", 0, SimMachine("h", "small", "a", false), 0.0) },
+            "wrong_place" to {
                 taskStarted("job-2", 0, zoneAMachine, 0.0)
                 taskStarted("job-2", 1, preemptibleMachine, 0.0)
                 taskStarted("job-2", 2, zoneAMachine, 0.0)
             },
-            "quota_exceeded" to
+            "quota" to
                 {
                     submitted(Samples.spec(id = "job-3"))
                     taskStarted("job-3", 0, zoneAMachine, 0.0)
                     taskStarted("job-3", 1, zoneAMachine, 0.0)
                     taskStarted("job-3", 2, zoneAMachine, 0.0)
                 },
-            "running_after_cancellation+started_after_cancellation" to {
+            "ran_cancelled+started_after_cancellation" to {
                 cancelRequested("job-1")
                 jobAnswered("job-1", "aborted", 0.0)
                 taskStarted("job-1", 0, zoneAMachine, 11.0)
@@ -97,7 +97,7 @@
                 jobAnswered("job-1", "aborted", 1.0, before = "running")
                 jobAnswered("job-1", "running", 1.1, before = "running")
             },
-            "invalid_phase_transition" to {
+            "went_back" to {
                 jobAnswered("job-1", "running", 0.0)
                 cancelRequested("job-1")
                 jobAnswered("job-1", "aborted", 1.0, before = "running")
@@ -111,7 +111,7 @@
                 for (index in 0..1) taskStarted("job-3", index, zoneAMachine, 0.0)
                 waitsBesideMachineWith(Resources(8.0, 2.0, 32.0))
             },
-            "running_after_cancellation" to {
+            "ran_cancelled" to {
                 taskStarted("job-1", 0, zoneAMachine, 0.0)
                 cancelRequested("job-1")
                 jobAnswered("job-1", "aborted", 0.0)
@@ -125,25 +125,25 @@
                     taskRemoved("job-1", 0, "h1")
                     checkCancelled(11.0)
                 },
-            "job_lost" to {
+            "forgotten" to {
                 jobAnswered("job-1", "pending", 0.0)
                 jobAnswered("job-1", null, 1.0)
             },
-            "unknown_job" to { jobAnswered("job-9", "pending", 0.0) },
+            "invented" to { jobAnswered("job-9", "pending", 0.0) },
             null to { jobAnswered("job-9", null, 0.0) },
-            "done_early" to {
+            "not_done" to {
                 taskCompleted("job-1", 0)
                 jobAnswered("job-1", "done", 0.0)
             },
-            "invalid_phase_transition" to
+            "went_back" to
                 {
                     taskCompleted("job-1", 0)
                     taskCompleted("job-1", 1)
                     jobAnswered("job-1", "done", 0.0)
                     jobAnswered("job-1", "running", 1.0)
                 },
-            "invalid_phase_transition" to { jobAnswered("job-1", "aborted", 0.0) },
-            "job_lost" to {
+            "went_back" to { jobAnswered("job-1", "aborted", 0.0) },
+            "forgotten" to {
                 jobAnswered("job-1", "running", 0.0)
                 jobAnswered("job-2", "running", 70.0)
                 checkAnswered(76.0)
--- a/src/test/kotlin/flaxfield/sim/SimCloud.kt
+++ b/src/test/kotlin/flaxfield/sim/SimCloud.kt
@@ -56,11 +56,11 @@
     var bootFailureRate = 0.0
 
     /** The number of requests rejected by the rate limit. */
-    var refused = 0
+    var rejectedCount = 0
         private set
 
     /** The number of all requests, including rejected ones. */
-    var served = 0
+    var requestCount = 0
         private set
     private val requestRate = SimRateLimit(loop, RPS, RPS * BURST_S)
 
@@ -68,9 +68,9 @@
     fun healthyMachines(): List<HealthyMachine> = workers.values.mapNotNull { it.healthyMachine() }
 
     fun serve(method: String, target: String, body: ByteArray, answer: (Response) -> Unit) {
-        served++
+        requestCount++
         if (!requestRate.tryTake(1)) {
-            refused++
+            rejectedCount++
             return answer(response(TOO_MANY_REQUESTS, emptyMap()))
         }
         when {
--- a/src/test/kotlin/flaxfield/sim/SimCluster.kt
+++ b/src/test/kotlin/flaxfield/sim/SimCluster.kt
@@ -137,7 +137,7 @@
     }
 
     /** Checks the invariants periodically from now on. Those that hold only without faults start after [faultsEndS]. */
-    fun watch(faultsEndS: Double) {
+    fun checkInvariantsPeriodically(faultsEndS: Double) {
         store.expire()
         cloud.recordSnapshot()
         detectNewLeader()
@@ -146,7 +146,7 @@
             invariants.checkAnswered(loop.nowS)
             invariants.checkWaiting(loop.nowS, cloud.healthyMachines())
         }
-        loop.after(CHECK_INTERVAL_NS) { watch(faultsEndS) }
+        loop.after(CHECK_INTERVAL_NS) { checkInvariantsPeriodically(faultsEndS) }
     }
 
     private fun detectNewLeader() {
--- a/src/test/kotlin/flaxfield/sim/SimLink.kt
+++ b/src/test/kotlin/flaxfield/sim/SimLink.kt
@@ -34,10 +34,10 @@
     var lateTransactionRate = 0.0
 
     /** The rate of transactions that are executed in time but whose responses are lost. */
-    var lostTransactionAnswerRate = 0.0
+    var lostTransactionResponseRate = 0.0
 
     /** The latency added to each message. */
-    var slowMs = 0L
+    var extraLatencyMs = 0L
 
     /** Returns a transport to [server]; its callers get no response once they are not [alive]. */
     fun transport(alive: () -> Boolean, server: SimServer) = HttpTransport { method, path, body, timeoutMs, done ->
@@ -73,9 +73,9 @@
 
     private fun isResponseLost(draw: Double, isTransaction: Boolean): Boolean = loop.random.nextDouble() < lostResponseRate ||
         isTransaction &&
-        (draw < lateTransactionRate || loop.random.nextDouble() < lostTransactionAnswerRate)
+        (draw < lateTransactionRate || loop.random.nextDouble() < lostTransactionResponseRate)
 
-    private fun latencyNs() = loop.random.nextLong(SimLoop.MS, 5 * SimLoop.MS) + slowMs * SimLoop.MS
+    private fun latencyNs() = loop.random.nextLong(SimLoop.MS, 5 * SimLoop.MS) + extraLatencyMs * SimLoop.MS
 
     private companion object {
         const val TRANSACTION_PATH = "/txn"
--- a/src/test/kotlin/flaxfield/sim/SimNetwork.kt
+++ b/src/test/kotlin/flaxfield/sim/SimNetwork.kt
@@ -29,7 +29,7 @@
     var resetsCutConnections = false
 
     /** The partitioned zone, whose workers and controllers reach only each other; null without a partition. */
-    var zoneCut: String? = null
+    var partitionedZone: String? = null
         set(value) {
             field = value
             for ((index, zone) in controllerZones.withIndex()) {
@@ -51,11 +51,11 @@
         for ((position, deliver) in delayed.withIndex()) loop.after((position + 1L) * SimLoop.MS, deliver)
     }
 
-    fun isInPartitionedZone(controller: Int): Boolean = zoneCut == controllerZones[controller]
+    fun isInPartitionedZone(controller: Int): Boolean = partitionedZone == controllerZones[controller]
 
     /** Returns whether the zone partition separates [zone] from [controller]. */
     fun arePartitioned(zone: String, controller: Int): Boolean =
-        zoneCut != null && (zone == zoneCut) != (controllerZones[controller] == zoneCut)
+        partitionedZone != null && (zone == partitionedZone) != (controllerZones[controller] == partitionedZone)
 
     /** Returns whether a message of controller [from] reaches its peer [to]. */
     fun connectsPeers(from: Int, to: Int): Boolean = !peersDisconnected &&
--- a/src/test/kotlin/flaxfield/sim/SimStore.kt
+++ b/src/test/kotlin/flaxfield/sim/SimStore.kt
@@ -26,11 +26,11 @@
     val violations = ArrayList<String>()
 
     /** The number of requests rejected by the limits on request and write rates. */
-    var refused = 0
+    var rejectedCount = 0
         private set
 
     /** The number of requests received while the service was available. */
-    var served = 0
+    var requestCount = 0
         private set
     private val requestRate = SimRateLimit(loop, limits.rps, limits.rps)
     private val changeRate = SimRateLimit(loop, limits.writeRps, limits.writeRps)
@@ -56,7 +56,7 @@
     private val rejectedControllers = HashSet<Int>()
 
     /** Rejects all requests of [controller] if [rejected], or else serves them again. */
-    fun refuse(controller: Int, rejected: Boolean) {
+    fun setRejected(controller: Int, rejected: Boolean) {
         if (rejected) rejectedControllers += controller else rejectedControllers -= controller
         if (!rejected) answerWatches()
     }
@@ -78,9 +78,9 @@
     fun serve(controller: Int, method: String, target: String, body: ByteArray, answer: (Response) -> Unit) {
         expire()
         if (outage || controller in rejectedControllers) return answer(response(UNAVAILABLE))
-        served++
+        requestCount++
         if (!requestRate.tryTake(1)) {
-            refused++
+            rejectedCount++
             return answer(response(TOO_MANY_REQUESTS))
         }
         val path = target.substringBefore('?')
@@ -116,7 +116,7 @@
         val conditions = transaction.mapList("when")
         if (exceedsLimits(transaction, changes.size, conditions.size)) return response(BAD_REQUEST)
         if (!changeRate.tryTake(changes.size)) {
-            refused++
+            rejectedCount++
             return response(TOO_MANY_REQUESTS)
         }
         val namedLeases = changes.mapNotNull { it.unsigned("tether")?.toLong() }
--- a/src/test/kotlin/flaxfield/sim/SimTaskRunner.kt
+++ b/src/test/kotlin/flaxfield/sim/SimTaskRunner.kt
@@ -91,7 +91,7 @@
             if (!fails) task.remainingS = gangWaitS
         } else {
             task.state = SimTaskState.RUNNING
-            invariants.watcher?.runs(task.spec, task.index)
+            invariants.watcher?.onRunning(task.spec, task.index)
         }
     }
 
@@ -100,7 +100,7 @@
             fails && task.remainingS <= 0 -> end(task, SimTaskEndReason.ERROR)
             gangs.isComplete(task) -> {
                 task.state = SimTaskState.RUNNING
-                invariants.watcher?.runs(task.spec, task.index)
+                invariants.watcher?.onRunning(task.spec, task.index)
                 task.remainingS = task.spec.expectedRuntimeS
                 gangs.markStarted(task)
             }
@@ -119,7 +119,7 @@
     }
 
     private fun complete(task: SimTask) {
-        invariants.watcher?.done(task.spec, task.index)
+        invariants.watcher?.onCompleted(task.spec, task.index)
         if (task.spec.jobKind == JobKind.GANG) {
             gangs.markCompleted(task)
             for (index in 0 until task.spec.taskCount) invariants.taskCompleted(task.spec.id, index)
@@ -137,7 +137,7 @@
     }
 
     private fun leaveMachine(task: SimTask) {
-        if (task.isLive) invariants.watcher?.left(task.spec, task.index)
+        if (task.isLive) invariants.watcher?.onRemoved(task.spec, task.index)
         if (task.isLive && task.state != SimTaskState.PULLING) {
             invariants.taskRemoved(task.spec.id, task.index, machine.machineName)
         }
@@ -169,7 +169,7 @@
     private fun halt(task: SimTask, gracePeriodS: Double) {
         if (!task.isLive) return
         val spec = task.spec
-        invariants.watcher?.halted(spec, task.index, gracePeriodS)
+        invariants.watcher?.onHalting(spec, task.index, gracePeriodS)
         val canCheckpoint = spec.checkpointIntervalS > 0 && gracePeriodS >= spec.checkpointDurationS
         if (task.state == SimTaskState.RUNNING && canCheckpoint) {
             if (spec.jobKind != JobKind.GANG) invariants.checkpointedRemainingS[task.key] = task.remainingS
--- a/src/test/kotlin/flaxfield/sim/SimWorker.kt
+++ b/src/test/kotlin/flaxfield/sim/SimWorker.kt
@@ -100,7 +100,7 @@
 
     private fun checkLease() {
         if (loop.nowS - maxOf(leaseRenewedS, incarnationStartedS) <= times.leaseS) return
-        if (tasks.hasLiveTasks) workload.invariants.leasesLost++
+        if (tasks.hasLiveTasks) workload.invariants.leasesExpired++
         tasks.terminateAll()
         incarnation++
         incarnationStartedS = loop.nowS
--- a/src/test/kotlin/flaxfield/sim/SimulationTest.kt
+++ b/src/test/kotlin/flaxfield/sim/SimulationTest.kt
@@ -39,17 +39,26 @@
 
     @ParameterizedTest
     @CsvSource(
-        "1, quiet", "2, kill", "3, kill+lost", "4, all+outage", "5, outage+kill", "6, cut", "7, cut+lost+kill",
-        "8, hang",
-        "9, hang+taken+kill", "10, taken+sick", "11, all+lost+hang", "12, outage+cut+kill+lost+hang+taken+sick",
-        "13, deaf", "14, copies+taken+kill", "15, lone", "16, blink", "17, deaf+copies+blink", "18, lone+copies+lost",
-        "19, blink+lost+copies+deaf+lone+taken", "20, zone", "21, zone+kill+copies", "22, freeze",
-        "23, freeze+lost+taken+copies",
-        "24, peer-partition+cut", "25, zone+freeze+peer-partition+blink", "26, freeze+lone+all+outage",
-        "27, peer-partition+freeze+hang+kill",
-        "33, failing-jobs", "34, failing-jobs+sick+kill", "35, boot-faults", "36, boot-faults+freeze+all",
-        "37, read-storm+cut",
-        "38, read-storm+failing-jobs+freeze+lost",
+        "1, no-faults", "2, controller-crashes", "3, controller-crashes+lost-store-responses",
+        "4, full-controller-restart+store-outage", "5, store-outage+controller-crashes", "6, link-partitions",
+        "7, link-partitions+lost-store-responses+controller-crashes",
+        "8, worker-hangs",
+        "9, worker-hangs+machine-losses+controller-crashes", "10, machine-losses+failing-machine",
+        "11, full-controller-restart+lost-store-responses+worker-hangs",
+        "12, store-outage+link-partitions+controller-crashes+lost-store-responses+worker-hangs+machine-losses+failing-machine",
+        "13, inbound-partition", "14, delayed-duplicates+machine-losses+controller-crashes", "15, controller-isolation",
+        "16, restart-storm", "17, inbound-partition+delayed-duplicates+restart-storm",
+        "18, controller-isolation+delayed-duplicates+lost-store-responses",
+        "19, restart-storm+lost-store-responses+delayed-duplicates+inbound-partition+controller-isolation+machine-losses",
+        "20, zone-partition", "21, zone-partition+controller-crashes+delayed-duplicates", "22, controller-pauses",
+        "23, controller-pauses+lost-store-responses+machine-losses+delayed-duplicates",
+        "24, peer-partition+link-partitions", "25, zone-partition+controller-pauses+peer-partition+restart-storm",
+        "26, controller-pauses+controller-isolation+full-controller-restart+store-outage",
+        "27, peer-partition+controller-pauses+worker-hangs+controller-crashes",
+        "33, failing-jobs", "34, failing-jobs+failing-machine+controller-crashes", "35, boot-faults",
+        "36, boot-faults+controller-pauses+full-controller-restart",
+        "37, read-storm+link-partitions",
+        "38, read-storm+failing-jobs+controller-pauses+lost-store-responses",
     )
     fun `invariants hold and every job finishes under faults`(seed: Int, faults: String) {
         val cluster = SimCluster(seed)
@@ -58,7 +67,7 @@
         val users = jobs(cluster)
         for ((n, user) in users.withIndex()) cluster.loop.after((2 + 5L * n) * SimLoop.SECOND, user::submit)
         FaultInjector(cluster, users).inject(faults)
-        cluster.watch(FAULTS_END_S)
+        cluster.checkInvariantsPeriodically(FAULTS_END_S)
         cluster.loop.runUntil(END_S)
         cluster.invariants.checkFairness()
         // Submissions need the machine types, whose write must be retried soon after a conflict with a new assignment.
@@ -95,10 +104,10 @@
             for ((n, user) in users.withIndex()) cluster.loop.after((2 + 3L * n) * SimLoop.SECOND, user::submit)
             cluster.loop.after(30 * SimLoop.SECOND) { cluster.network.workerConnectionsCut[controller] = true }
             cluster.loop.after(60 * SimLoop.SECOND) { cluster.network.workerConnectionsCut[controller] = false }
-            cluster.watch(FAULTS_END_S)
+            cluster.checkInvariantsPeriodically(FAULTS_END_S)
             cluster.loop.runUntil(END_S)
             assertEquals(emptyList<String>(), cluster.invariants.violations)
-            assertEquals(0, cluster.invariants.leasesLost, "controller $controller, reset=${cluster.network.resetsCutConnections}")
+            assertEquals(0, cluster.invariants.leasesExpired, "controller $controller, reset=${cluster.network.resetsCutConnections}")
             assertTrue(users.all { cluster.invariants.reportedPhase(it.spec.id) in InvariantChecker.FINAL_PHASES })
         }
     }
@@ -146,7 +155,7 @@
             for (worker in cluster.cloud.workers.values.filterIndexed { i, _ -> i % 5 == 0 }) worker.terminate()
         }
         if (machinesPerZone > 100) cluster.loop.after(100 * SimLoop.SECOND) { for (i in 0..2) cluster.kill(i, 2.0) }
-        cluster.watch(FAULTS_END_S)
+        cluster.checkInvariantsPeriodically(FAULTS_END_S)
         cluster.loop.runUntil(LARGE_END_S)
         cluster.invariants.checkFairness()
         assertEquals(emptyList<String>(), cluster.invariants.violations)
@@ -161,12 +170,12 @@
         assertTrue(cluster.cloud.machinesRented > minMachinesRented, "${cluster.cloud.machinesRented} machines rented")
         // A list of 4,000 machines has eight pages, whose requests must keep to the rate limit.
         assertTrue(
-            cluster.cloud.refused * 50 <= cluster.cloud.served,
-            "${cluster.cloud.refused} of ${cluster.cloud.served} requests rejected by the cloud",
+            cluster.cloud.rejectedCount * 50 <= cluster.cloud.requestCount,
+            "${cluster.cloud.rejectedCount} of ${cluster.cloud.requestCount} requests rejected by the cloud",
         )
         assertTrue(
-            cluster.store.refused * 50 < cluster.store.served,
-            "${cluster.store.refused} of ${cluster.store.served} requests rejected by the state service",
+            cluster.store.rejectedCount * 50 < cluster.store.requestCount,
+            "${cluster.store.rejectedCount} of ${cluster.store.requestCount} requests rejected by the state service",
         )
         val unfinished = users.filter { cluster.invariants.reportedPhase(it.spec.id) !in InvariantChecker.FINAL_PHASES }
         assertEquals(
@@ -209,7 +218,7 @@
         for ((n, user) in smallJobs.withIndex()) cluster.loop.after((10_000L + n * 130) * SimLoop.MS, user::submit)
         for ((n, user) in gangs.withIndex()) cluster.loop.after((12 + 3L * n) * SimLoop.SECOND, user::submit)
         cluster.loop.after(20 * SimLoop.SECOND) { cluster.kill(0, 1.0) }
-        cluster.watch(FAULTS_END_S)
+        cluster.checkInvariantsPeriodically(FAULTS_END_S)
         cluster.loop.runUntil(HUGE_END_S)
         cluster.invariants.checkFairness()
         assertEquals(emptyList<String>(), cluster.invariants.violations)
--- a/src/test/kotlin/flaxfield/sim/TaskWatcher.kt
+++ b/src/test/kotlin/flaxfield/sim/TaskWatcher.kt
@@ -5,17 +5,17 @@
 /** Observes the lifecycle of tasks on machines. */
 interface TaskWatcher {
     /** Called when the task has pulled its image and starts to occupy its machine. */
-    fun starts(spec: JobSpec, index: Int, machine: SimMachine) = Unit
+    fun onStarted(spec: JobSpec, index: Int, machine: SimMachine) = Unit
 
     /** Called when the task starts its work. */
-    fun runs(spec: JobSpec, index: Int)
+    fun onRunning(spec: JobSpec, index: Int)
 
     /** Called when the worker is ordered to stop the task, with [gracePeriodS] to save a checkpoint. */
-    fun halted(spec: JobSpec, index: Int, gracePeriodS: Double)
+    fun onHalting(spec: JobSpec, index: Int, gracePeriodS: Double)
 
     /** Called when the task leaves its machine, for any reason. */
-    fun left(spec: JobSpec, index: Int)
+    fun onRemoved(spec: JobSpec, index: Int)
 
     /** Called when the task has completed its work, before it leaves its machine. */
-    fun done(spec: JobSpec, index: Int)
+    fun onCompleted(spec: JobSpec, index: Int)
 }
--- a/src/test/kotlin/flaxfield/zones/ZoneChecker.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneChecker.kt
@@ -43,22 +43,22 @@
 
     private fun taskName(spec: JobSpec, index: Int) = "${spec.id}/$index"
 
-    override fun starts(spec: JobSpec, index: Int, machine: SimMachine) {
+    override fun onStarted(spec: JobSpec, index: Int, machine: SimMachine) {
         val task = taskName(spec, index)
         classOf[task] = spec.jobClass
         running[task] = machine
         starts += TaskStart(now, task, spec.jobClass, machine.machineName, machine.zone)
     }
 
-    override fun runs(spec: JobSpec, index: Int) = Unit
+    override fun onRunning(spec: JobSpec, index: Int) = Unit
 
-    override fun halted(spec: JobSpec, index: Int, gracePeriodS: Double) = Unit
+    override fun onHalting(spec: JobSpec, index: Int, gracePeriodS: Double) = Unit
 
-    override fun left(spec: JobSpec, index: Int) {
+    override fun onRemoved(spec: JobSpec, index: Int) {
         running -= taskName(spec, index)
     }
 
-    override fun done(spec: JobSpec, index: Int) {
+    override fun onCompleted(spec: JobSpec, index: Int) {
         doneAt[taskName(spec, index)] = now
     }
 
--- a/src/test/kotlin/flaxfield/zones/ZoneMeasurement.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneMeasurement.kt
@@ -37,7 +37,7 @@
     private var displacedAgain = 0
     private val runningElsewhere = HashSet<String>()
 
-    override fun starts(spec: JobSpec, index: Int, machine: SimMachine) {
+    override fun onStarted(spec: JobSpec, index: Int, machine: SimMachine) {
         val task = "${spec.id}/$index"
         classOf[task] = spec.jobClass
         running[task] = machine
@@ -47,15 +47,15 @@
         if (loop.nowS > secondLossS && task in runningElsewhere) displacedAgain++
     }
 
-    override fun runs(spec: JobSpec, index: Int) = Unit
+    override fun onRunning(spec: JobSpec, index: Int) = Unit
 
-    override fun halted(spec: JobSpec, index: Int, gracePeriodS: Double) = Unit
+    override fun onHalting(spec: JobSpec, index: Int, gracePeriodS: Double) = Unit
 
-    override fun left(spec: JobSpec, index: Int) {
+    override fun onRemoved(spec: JobSpec, index: Int) {
         running -= "${spec.id}/$index"
     }
 
-    override fun done(spec: JobSpec, index: Int) = Unit
+    override fun onCompleted(spec: JobSpec, index: Int) = Unit
 
     private fun jobs(): List<JobSpec> {
         val size = maxOf(3, machines / 10)
@@ -84,19 +84,19 @@
                 SimUser(cluster, cluster.job(job))::submit,
             )
         }
-        cluster.watch(1e9)
+        cluster.checkInvariantsPeriodically(1e9)
         val tasks = jobs.sumOf { it.taskCount }
         while (running.size < tasks * MIN_RUNNING_SHARE && loop.nowS < MAX_FILL_S) loop.runUntil(loop.nowS + 1.0)
         val machinesRented = cluster.cloud.machinesRented
         loseZone()
         loop.runUntil(lossS + partitionS)
-        cluster.network.zoneCut = null
+        cluster.network.partitionedZone = null
         loop.runUntil(lossS + partitionS + RECONNECTED_S)
         runningElsewhere += running.filterValues { it.zone != LOST_ZONE }.keys
         secondLossS = loop.nowS
-        cluster.network.zoneCut = LOST_ZONE
+        cluster.network.partitionedZone = LOST_ZONE
         loop.runUntil(secondLossS + partitionS)
-        cluster.network.zoneCut = null
+        cluster.network.partitionedZone = null
         loop.runUntil(secondLossS + partitionS + SETTLE_S)
         printReport(tasks, machinesRented)
     }
@@ -104,7 +104,7 @@
     private fun loseZone() {
         lossS = loop.nowS
         for ((task, machine) in running) if (machine.zone == LOST_ZONE) displaced[task] = classOf.getValue(task)
-        cluster.network.zoneCut = LOST_ZONE
+        cluster.network.partitionedZone = LOST_ZONE
         // The leader fails ten seconds after the loss, and the next one ten seconds later.
         for (s in listOf(LEADER_FAILURE_S, LEADER_FAILURE_S * 2)) {
             loop.after((s * SimLoop.SECOND).toLong()) {
--- a/src/test/kotlin/flaxfield/zones/ZoneScenario.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneScenario.kt
@@ -80,10 +80,10 @@
     fun partition(fromS: Double, durationS: Double) {
         after(fromS) {
             checker.recordLoss()
-            cluster.network.zoneCut = LOST_ZONE
+            cluster.network.partitionedZone = LOST_ZONE
         }
         after(fromS + durationS) {
-            cluster.network.zoneCut = null
+            cluster.network.partitionedZone = null
             checker.recordHealed()
         }
     }
@@ -91,7 +91,7 @@
     /** Terminates all machines of the zone at [atS], and keeps it unreachable from then on. */
     fun destroyZone(atS: Double) = after(atS) {
         checker.recordLoss()
-        cluster.network.zoneCut = LOST_ZONE
+        cluster.network.partitionedZone = LOST_ZONE
         for (worker in cluster.cloud.workers.values) if (worker.machine.zone == LOST_ZONE) worker.terminate()
     }
 
@@ -132,7 +132,7 @@
 
     /** Runs the simulation until the virtual time [untilS], and checks the invariants all the time. */
     fun run(untilS: Double) {
-        if (!isWatching) cluster.watch(FAULTS_END_S)
+        if (!isWatching) cluster.checkInvariantsPeriodically(FAULTS_END_S)
         isWatching = true
         loop.runUntil(untilS)
     }
--- a/src/test/kotlin/flaxfield/zones/ZoneSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneSimulationTest.kt
@@ -71,7 +71,7 @@
         scenario.run(END_S)
         assertRecovered(scenario)
         assertTrue(states(scenario).none { it == "lost" || it == "returning" }, "${scenario.states}")
-        assertEquals(0, scenario.cluster.invariants.leasesLost)
+        assertEquals(0, scenario.cluster.invariants.leasesExpired)
     }
 
     @ParameterizedTest
@@ -158,8 +158,8 @@
             "long store outage" -> during(64.0, 20.0) { cluster.store.outage = it }
             "leader rejected by store" -> scenario.after(70.0) {
                 val leader = cluster.leader
-                cluster.store.refuse(leader, true)
-                scenario.after(6.0) { cluster.store.refuse(leader, false) }
+                cluster.store.setRejected(leader, true)
+                scenario.after(6.0) { cluster.store.setRejected(leader, false) }
             }
             "delayed transactions" -> for (link in cluster.network.storeLinks) {
                 during(58.0, 60.0) {
@@ -169,7 +169,7 @@
             }
             "lost transaction responses" -> for (link in cluster.network.storeLinks) {
                 during(58.0, 60.0) {
-                    link.lostTransactionAnswerRate =
+                    link.lostTransactionResponseRate =
                         if (it) 0.25 else 0.0
                 }
             }
@@ -177,7 +177,7 @@
                 cluster.heartbeats.duplicateRate = if (it) 0.1 else 0.0
                 cluster.heartbeats.duplicateForNextLeaderRate = if (it) 0.3 else 0.0
             }
-            "slow store" -> for (link in cluster.network.storeLinks) during(58.0, 60.0) { link.slowMs = if (it) 200L else 0L }
+            "slow store" -> for (link in cluster.network.storeLinks) during(58.0, 60.0) { link.extraLatencyMs = if (it) 200L else 0L }
         }
     }
 
