--- a/tools/outer-names.sh
+++ b/tools/outer-names.sh
@@ -19,7 +19,7 @@
 export LC_ALL=C
 
 # Enums whose values are stored, sent, printed for operators, or labels of metrics. A renamed enum is renamed here too.
-written_enums='Absence DrainPhase ExitCode HeartbeatCoverage MachineHealth MachinePhase RepeatPolicy RequestKind WriteCause ZoneState'
+written_enums='DrainPhase ExitCode HeartbeatCoverage MachineHealth MachinePhase RepeatPolicy RequestKind UnavailabilityReason WriteCause ZoneState'
 here=$(cd "$(dirname "$0")/.." && pwd)
 
 usage() {
