--- a/src/test/kotlin/flaxfield/golden/UserProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/UserProtocol.kt
@@ -45,7 +45,7 @@
 
     private fun decodeResult(map: Map<String, Any?>): String = try {
         JobCodec.decodeSpec(Cbor.decode(Cbor.encode(map)))
-        "valid"
+        "taken"
     } catch (e: MalformedException) {
         e.message.orEmpty()
     }
@@ -74,7 +74,7 @@
         call(JobRequestHandler(controller.context) { null }) { status, body, retryAfterS ->
             response.append("status=$status type=${body.type} retry_after_s=$retryAfterS\n").append(HexText.of(body.bytes))
         }
-        transport.text + "response\n" + response
+        transport.text + "told\n" + response
     }
 
     val suite = GoldenSuite("users", submissions + statuses + invalidSubmissions + responses)
