--- a/src/main/kotlin/flaxfield/cli/Main.kt
+++ b/src/main/kotlin/flaxfield/cli/Main.kt
@@ -28,14 +28,14 @@
     val parsed = try {
         commandLine().parseArgs(*args)
     } catch (e: ParameterException) {
-        fail(e.message ?: "bad arguments")
+        fail(e.message ?: "invalid arguments")
     }
     CommandLine.executeHelpRequest(parsed)?.let { exitProcess(0) }
     val serve = parsed.subcommand() ?: fail("no command given; see --help")
     try {
         serve(serve)
     } catch (e: MalformedException) {
-        fail(e.message ?: "bad settings")
+        fail(e.message ?: "invalid settings")
     } catch (fault: Throwable) {
         // The owner thread has terminated: the network threads would go on accepting requests that nothing executes.
         System.err.println("flaxfield: ended by $fault")
--- a/src/main/kotlin/flaxfield/client/ControllerCommand.kt
+++ b/src/main/kotlin/flaxfield/client/ControllerCommand.kt
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Mixin
 import java.util.concurrent.Callable
 
-/** A command that sends a request to a controller and prints the answer; returns the exit code of the process. */
+/** A command that sends a request to a controller and prints the response; returns the exit code of the process. */
 internal abstract class ControllerCommand : Callable<Int> {
     @Mixin
     lateinit var options: ClientOptions
--- a/src/main/kotlin/flaxfield/client/ExitCode.kt
+++ b/src/main/kotlin/flaxfield/client/ExitCode.kt
@@ -23,7 +23,7 @@
     /** The order was not recorded because a limit or an outage prevents it now; it may succeed later. */
     NOT_NOW(7),
 
-    /** The state service did not answer: the order may have been recorded. Repeating it with the same id is safe. */
+    /** The state service did not respond: the order may have been recorded. Repeating it with the same id is safe. */
     UNKNOWN_OUTCOME(8),
 
     /** With `--wait`: the drain did not end before the timeout, or ended in another state than done. */
--- a/src/main/kotlin/flaxfield/client/OperatorClient.kt
+++ b/src/main/kotlin/flaxfield/client/OperatorClient.kt
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * A client of the operators' service. Tries the controllers at the given endpoints in order until one answers, within
+ * A client of the operators' service. Tries the controllers at the given endpoints in order until one responds, within
  * [timeoutS][OperatorClient] in total. Orders are idempotent, so a request whose outcome is unknown is safe to repeat.
  */
 class OperatorClient(endpoints: List<String>, timeoutS: Double) : AutoCloseable {
@@ -35,7 +35,7 @@
             .build()
     }
 
-    /** Returns the answer of the first controller that gives one; throws [ClientException] if none does. */
+    /** Returns the response of the first controller that gives one; throws [ClientException] if none does. */
     fun <T> call(request: (OperatorBlockingStub) -> T): T {
         var worst: ClientException? = null
         for ((position, endpoint) in endpoints.withIndex()) {
@@ -55,12 +55,12 @@
         throw worst ?: ClientException(ExitCode.UNREACHABLE, "no controller answered within the timeout")
     }
 
-    /** Polls until an answer is [final][isFinal] or the timeout has elapsed, and returns the last answer. */
+    /** Polls until a response is [final][isFinal] or the timeout has elapsed, and returns the last response. */
     fun <T> pollUntil(isFinal: (T) -> Boolean, request: (OperatorBlockingStub) -> T): T {
         while (true) {
-            val answer = call(request)
-            if (isFinal(answer)) return answer
-            if (System.nanoTime() + POLL_INTERVAL_MS * NANOS_PER_MILLI >= deadlineNs) return answer
+            val response = call(request)
+            if (isFinal(response)) return response
+            if (System.nanoTime() + POLL_INTERVAL_MS * NANOS_PER_MILLI >= deadlineNs) return response
             Thread.sleep(POLL_INTERVAL_MS)
         }
     }
--- a/src/main/kotlin/flaxfield/client/OperatorCommands.kt
+++ b/src/main/kotlin/flaxfield/client/OperatorCommands.kt
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command
 
 /**
- * The operators' command line. Each command sends a request to a controller and prints the answer. The parts that
+ * The operators' command line. Each command sends a request to a controller and prints the response. The parts that
  * scripts may rely on are documented in docs/operating-drains.md.
  */
 object OperatorCommands {
--- a/src/main/kotlin/flaxfield/client/Output.kt
+++ b/src/main/kotlin/flaxfield/client/Output.kt
@@ -20,10 +20,10 @@
 import flaxfield.operator.v1.MachineList as Machines
 import flaxfield.operator.v1.ZoneList as Zones
 
-/** The output formats of answers. */
+/** The output formats of responses. */
 internal enum class OutputFormat { TABLE, JSON }
 
-/** Prints answers either as tables or as JSON with the field names of `operator.proto`. */
+/** Prints responses either as tables or as JSON with the field names of `operator.proto`. */
 internal object Output {
     private const val PERCENT = 100.0
     private val json = JsonFormat.printer().preservingProtoFieldNames().includingDefaultValueFields()
@@ -150,7 +150,7 @@
         println(table)
     }
 
-    /** Prints [message] as JSON, or as tables with [printTables] followed by the [revision] of the answer. */
+    /** Prints [message] as JSON, or as tables with [printTables] followed by the [revision] of the response. */
     private fun print(message: Message, format: OutputFormat, revision: Long, printTables: () -> Unit) {
         if (format == OutputFormat.JSON) return println(json.print(message))
         printTables()
--- a/src/main/kotlin/flaxfield/drain/DrainOrderRules.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrderRules.kt
@@ -9,7 +9,7 @@
     data class Write(val drain: DrainRecord) : OrderEffect
 
     /** The order is refused. */
-    data class Refuse(val fault: OrderFault, val message: String) : OrderEffect
+    data class Refuse(val code: OrderErrorCode, val message: String) : OrderEffect
 }
 
 /** Decides the effect of an order on a drain's current record. Pure. */
@@ -29,7 +29,7 @@
     ): OrderEffect {
         if (existing != null) {
             if (existing.selector == order.selector) return OrderEffect.Unchanged(existing)
-            return OrderEffect.Refuse(OrderFault.CONFLICT, "drain ${order.id} exists with another selector")
+            return OrderEffect.Refuse(OrderErrorCode.CONFLICT, "drain ${order.id} exists with another selector")
         }
         validate(order, snapshot)?.let { return it }
         return OrderEffect.Write(DrainRecord(order.id, order.selector, nowMs, DrainPhase.ACTIVE, null, 0, "", 0uL))
@@ -85,14 +85,14 @@
             to -> OrderEffect.Unchanged(existing)
             in from -> OrderEffect.Write(existing.copy(phase = to))
             else -> OrderEffect.Refuse(
-                OrderFault.CONFLICT,
+                OrderErrorCode.CONFLICT,
                 "drain ${existing.id} is ${existing.phase.name.lowercase()}",
             )
         }
 
-    private fun notFound(message: String) = OrderEffect.Refuse(OrderFault.NOT_FOUND, message)
+    private fun notFound(message: String) = OrderEffect.Refuse(OrderErrorCode.NOT_FOUND, message)
 
-    private fun invalid(message: String) = OrderEffect.Refuse(OrderFault.INVALID, message)
+    private fun invalid(message: String) = OrderEffect.Refuse(OrderErrorCode.INVALID, message)
 
     private val ID = Regex("[A-Za-z0-9-]{1,40}")
     private const val MAX_PERCENT = 100.0
--- a/src/main/kotlin/flaxfield/drain/DrainOrders.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrders.kt
@@ -17,7 +17,7 @@
         val existing = snapshot.drains[order.id]
         when (val effect = DrainOrderRules.effect(order, existing, snapshot, context.nowMs)) {
             is OrderEffect.Unchanged -> done(OrderResult.Recorded(effect.drain, snapshot.revision))
-            is OrderEffect.Refuse -> done(OrderResult.Refused(effect.fault, effect.message))
+            is OrderEffect.Refuse -> done(OrderResult.Refused(effect.code, effect.message))
             is OrderEffect.Write -> write(effect.drain, done)
         }
     }
@@ -25,7 +25,7 @@
     private fun write(drain: DrainRecord, done: (OrderResult<DrainRecord>) -> Unit) {
         val value = DrainCodec.encode(drain)
         if (TransactionSize.jsonBytes(value) > context.settings.stateLimits.valueKb * BYTES_PER_KIB * MAX_RECORD_FILL) {
-            return done(OrderResult.Refused(OrderFault.INVALID, "the selector names too many machines"))
+            return done(OrderResult.Refused(OrderErrorCode.INVALID, "the selector names too many machines"))
         }
         writer.write("drain ${drain.id}", FleetKeys.DRAIN + drain.id, drain.version, value) { result ->
             if (result is OrderResult.Recorded) {
--- a/src/main/kotlin/flaxfield/drain/FleetControl.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetControl.kt
@@ -86,7 +86,7 @@
 
     /**
      * Returns the capacity that the tasks on the next machines to drain need on other machines. It is provisioned
-     * ahead, since an evicted task that waits for a machine to boot would use its team's budget all the while.
+     * ahead, since an evicted task that waits for a machine to boot would use its team's budget during the boot.
      */
     override fun demands(): List<CapacityDemand> =
         if (publisher.isComplete) SurgeDemand.of(publisher.current) else emptyList()
@@ -96,7 +96,7 @@
         const val INTERVAL_HEARTBEATS = 0.25
 
         val VIEW_INCOMPLETE = OrderResult.Refused(
-            OrderFault.UNAVAILABLE,
+            OrderErrorCode.UNAVAILABLE,
             "this controller has not yet read the cluster state",
         )
     }
--- a/src/main/kotlin/flaxfield/drain/OrderResult.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderResult.kt
@@ -6,7 +6,7 @@
     data class Recorded<R>(val record: R, val revision: ULong) : OrderResult<R>
 
     /** The order was refused, or its outcome is unknown. */
-    data class Refused(val fault: OrderFault, val message: String) : OrderResult<Nothing>
+    data class Refused(val code: OrderErrorCode, val message: String) : OrderResult<Nothing>
 
     /** Returns the same outcome, with the record that [make] creates for the revision. */
     fun <T> recordedAs(make: (ULong) -> T): OrderResult<T> = when (this) {
@@ -16,7 +16,7 @@
 }
 
 /** Why an order was refused, or why its outcome is unknown. */
-enum class OrderFault {
+enum class OrderErrorCode {
     /** The order names something that does not exist. */
     NOT_FOUND,
 
--- a/src/main/kotlin/flaxfield/drain/OrderWriter.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderWriter.kt
@@ -37,8 +37,11 @@
         is TransactionOutcome.Committed -> OrderResult.Recorded(Unit, outcome.revision)
         is TransactionOutcome.Conflict -> unavailable("$subject was changed concurrently")
         is TransactionOutcome.Refused -> unavailable("the state service rejected the write")
-        is TransactionOutcome.Unknown -> OrderResult.Refused(OrderFault.UNKNOWN, "the state service does not answer")
+        is TransactionOutcome.Unknown -> OrderResult.Refused(
+            OrderErrorCode.UNKNOWN,
+            "the state service does not answer",
+        )
     }
 
-    private fun unavailable(message: String) = OrderResult.Refused(OrderFault.UNAVAILABLE, message)
+    private fun unavailable(message: String) = OrderResult.Refused(OrderErrorCode.UNAVAILABLE, message)
 }
--- a/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
+++ b/src/main/kotlin/flaxfield/drain/SnapshotPublisher.kt
@@ -31,7 +31,7 @@
     private val changedMachines = HashSet<String>()
     private var statusesChanged = false
 
-    /** The ids of the jobs with lost tasks that are not yet proven to run again. */
+    /** The ids of the jobs with lost tasks that have not yet been proven to run again. */
     val jobsWithLosses = HashSet<String>()
 
     override fun changed(item: KeyUpdate) {
--- a/src/main/kotlin/flaxfield/drain/WaitReason.kt
+++ b/src/main/kotlin/flaxfield/drain/WaitReason.kt
@@ -7,7 +7,7 @@
     /** The controllers [members] have no fleet file, or have not published it yet. */
     data class WithoutConfig(val members: List<String>) : WaitReason
 
-    /** The class of [job] forbids restarts, so that its tasks must run to completion. */
+    /** The class of [job] forbids restarts, so its tasks must run to completion. */
     data class RestartForbidden(val job: String, val jobClass: String, val policy: RepeatPolicy) : WaitReason
 
     /** A gang or a single task exceeds its team's whole budget. */
@@ -41,7 +41,7 @@
     data class CordonLimitReached(val limit: Int) : WaitReason
 }
 
-/** Collects the wait reasons of one plan, by drain and machine. Only the first reason of a machine is kept. */
+/** Collects the wait reasons of one plan, by drain and machine. Only the first reason of a machine is recorded. */
 internal class WaitReasons {
     private val byDrain = LinkedHashMap<String, LinkedHashMap<String, WaitReason>>()
 
--- a/src/main/kotlin/flaxfield/net/Responder.kt
+++ b/src/main/kotlin/flaxfield/net/Responder.kt
@@ -9,8 +9,8 @@
 }
 
 /**
- * Forwards the first response only. On a persistent connection, the client would take a second response for that to its
- * next request. A second response is a bug in the caller and is logged.
+ * Forwards the first response only. On a persistent connection, the client would take a second response as the response
+ * to its next request. A second response is a bug in the caller and is logged.
  */
 class SingleUseResponder(private val responder: Responder) : Responder {
     private var isUsed = false
--- a/src/main/kotlin/flaxfield/operator/CallExecutor.kt
+++ b/src/main/kotlin/flaxfield/operator/CallExecutor.kt
@@ -10,7 +10,7 @@
 
 /**
  * Executes operators' calls: reads on the calling thread, orders on the owner thread. Limits the number of concurrent
- * calls, and completes each call with exactly one answer or error. Thread-safe.
+ * calls, and completes each call with exactly one response or error. Thread-safe.
  */
 internal class CallExecutor(
     /** Returns the latest snapshot. */
@@ -31,17 +31,17 @@
     }
 
     /**
-     * Answers from a snapshot of revision [minRevision] or later. If this controller has none, refuses the call at
+     * Responds from a snapshot of revision [minRevision] or later. If this controller has none, refuses the call at
      * once, so that the client tries another controller.
      */
-    fun <T> read(minRevision: Long, observer: StreamObserver<T>, answer: (FleetSnapshot) -> T) = withPermit(observer) {
+    fun <T> read(minRevision: Long, observer: StreamObserver<T>, respond: (FleetSnapshot) -> T) = withPermit(observer) {
         val latest = snapshot()
         when {
             latest.revision == 0uL -> throw CallStatus.unavailable("this controller has not loaded its view yet")
             latest.revision < minRevision.toULong() ->
                 throw CallStatus.unavailable("this controller is at revision ${latest.revision}")
         }
-        observer.onNext(answer(latest))
+        observer.onNext(respond(latest))
         observer.onCompleted()
     }
 
@@ -60,15 +60,15 @@
     }
 
     /**
-     * Submits an order on the owner thread and answers with the message that [reply] builds from the recorded order.
+     * Submits an order on the owner thread and responds with the message that [reply] builds from the recorded order.
      */
     fun <R, T> order(
         observer: StreamObserver<T>,
         submit: ((OrderResult<R>) -> Unit) -> Unit,
         reply: (OrderResult.Recorded<out R>) -> T,
-    ) = onOwnerThread(observer, submit) { result -> answer(result, observer, reply) }
+    ) = onOwnerThread(observer, submit) { result -> complete(result, observer, reply) }
 
-    private fun <R, T> answer(
+    private fun <R, T> complete(
         result: OrderResult<R>,
         observer: StreamObserver<T>,
         reply: (OrderResult.Recorded<out R>) -> T,
@@ -80,7 +80,7 @@
             } catch (e: StatusRuntimeException) {
                 observer.onError(e)
             }
-            is OrderResult.Refused -> observer.onError(CallStatus.of(result.fault, result.message))
+            is OrderResult.Refused -> observer.onError(CallStatus.of(result.code, result.message))
         }
     }
 
--- a/src/main/kotlin/flaxfield/operator/CallStatus.kt
+++ b/src/main/kotlin/flaxfield/operator/CallStatus.kt
@@ -1,6 +1,6 @@
 package flaxfield.operator
 
-import flaxfield.drain.OrderFault
+import flaxfield.drain.OrderErrorCode
 import io.grpc.Status
 import io.grpc.StatusRuntimeException
 
@@ -8,7 +8,7 @@
 internal object CallStatus {
     fun notFound(message: String): StatusRuntimeException = exception(Status.NOT_FOUND, message)
 
-    /** For a call that another controller may be able to answer. */
+    /** Returns the status of a call that another controller may be able to handle. */
     fun unavailable(message: String): StatusRuntimeException = exception(Status.UNAVAILABLE, message)
 
     fun invalid(message: String): StatusRuntimeException = exception(Status.INVALID_ARGUMENT, message)
@@ -19,15 +19,15 @@
 
     fun tooManyCalls(): StatusRuntimeException = exception(Status.RESOURCE_EXHAUSTED, "too many concurrent calls")
 
-    /** Returns the status of an order that is refused because of [fault]. */
-    fun of(fault: OrderFault, message: String): StatusRuntimeException = exception(status(fault), message)
+    /** Returns the status of an order that is refused because of [code]. */
+    fun of(code: OrderErrorCode, message: String): StatusRuntimeException = exception(status(code), message)
 
-    private fun status(fault: OrderFault): Status = when (fault) {
-        OrderFault.NOT_FOUND -> Status.NOT_FOUND
-        OrderFault.INVALID -> Status.INVALID_ARGUMENT
-        OrderFault.CONFLICT -> Status.FAILED_PRECONDITION
-        OrderFault.UNAVAILABLE -> Status.ABORTED
-        OrderFault.UNKNOWN -> Status.UNKNOWN
+    private fun status(code: OrderErrorCode): Status = when (code) {
+        OrderErrorCode.NOT_FOUND -> Status.NOT_FOUND
+        OrderErrorCode.INVALID -> Status.INVALID_ARGUMENT
+        OrderErrorCode.CONFLICT -> Status.FAILED_PRECONDITION
+        OrderErrorCode.UNAVAILABLE -> Status.ABORTED
+        OrderErrorCode.UNKNOWN -> Status.UNKNOWN
     }
 
     private fun exception(status: Status, message: String) = status.withDescription(message).asRuntimeException()
--- a/src/main/kotlin/flaxfield/operator/FinishedJobReader.kt
+++ b/src/main/kotlin/flaxfield/operator/FinishedJobReader.kt
@@ -15,7 +15,7 @@
     /** No finished job of that id exists. */
     data object Absent : FinishedJobResult
 
-    /** The state service did not answer, or the request budget does not allow a read now. */
+    /** The state service did not respond, or the request budget does not allow a read now. */
     data object Unavailable : FinishedJobResult
 }
 
--- a/src/main/kotlin/flaxfield/operator/OperatorService.kt
+++ b/src/main/kotlin/flaxfield/operator/OperatorService.kt
@@ -27,8 +27,8 @@
 import io.grpc.stub.StreamObserver
 
 /**
- * The operators' gRPC service. Reads are answered from the latest snapshot. Orders are recorded by the owner thread,
- * and answered once they are committed.
+ * The operators' gRPC service. Reads use the latest snapshot. Orders are recorded by the owner thread, and are answered
+ * once they are committed.
  */
 class OperatorService(
     private val control: FleetControl,
--- a/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
+++ b/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
@@ -3,7 +3,7 @@
 import flaxfield.controller.ControllerContext
 import flaxfield.drain.FleetKeys
 import flaxfield.drain.FleetSnapshot
-import flaxfield.drain.OrderFault
+import flaxfield.drain.OrderErrorCode
 import flaxfield.drain.OrderResult
 import flaxfield.drain.OrderWriter
 import org.slf4j.LoggerFactory
@@ -21,10 +21,10 @@
     fun submit(zone: String, jobClass: String, snapshot: FleetSnapshot, done: (OrderResult<AbandonOrder>) -> Unit) {
         val record = snapshot.zones[zone]
         if (record == null || record.incarnation == 0L) {
-            return done(OrderResult.Refused(OrderFault.CONFLICT, "zone $zone has not been lost"))
+            return done(OrderResult.Refused(OrderErrorCode.CONFLICT, "zone $zone has not been lost"))
         }
         if (!isKnownClass(jobClass, snapshot)) {
-            return done(OrderResult.Refused(OrderFault.NOT_FOUND, "no class $jobClass"))
+            return done(OrderResult.Refused(OrderErrorCode.NOT_FOUND, "no class $jobClass"))
         }
         val existing = snapshot.abandons[AbandonOrder.name(zone, jobClass)]
         if (existing != null && existing.incarnation == record.incarnation) {
--- a/src/main/kotlin/flaxfield/zones/FairShares.kt
+++ b/src/main/kotlin/flaxfield/zones/FairShares.kt
@@ -8,7 +8,7 @@
 data class TeamDemand(
     val team: String,
     val demand: Capacity,
-    /** The team's quota, of which the guarantee is the weight of the team's share. Null for an unknown team. */
+    /** The team's quota, whose guarantee is the weight of the team's share; null for an unknown team. */
     val guarantee: Team?,
 )
 
@@ -59,7 +59,7 @@
     /** Returns the fraction of the team's demand that is filled while its dominant share grows by one. */
     private fun fillRate(team: TeamDemand): Double {
         val share = DominantShare.of(team.demand.cpus, team.demand.accelerators, team.guarantee)
-        // A demand for none of the guaranteed resources is measured in units, as for a team without a guarantee.
+        // A team that demands none of its guaranteed resources is treated like a team without a guarantee.
         val fullShare = if (share > 0.0) share else maxOf(team.demand.cpus, team.demand.accelerators)
         return if (fullShare <= 0.0) 0.0 else 1.0 / fullShare
     }
--- a/src/main/kotlin/flaxfield/zones/HeartbeatCoverage.kt
+++ b/src/main/kotlin/flaxfield/zones/HeartbeatCoverage.kt
@@ -5,7 +5,7 @@
  * order of the constants must not change because their ordinals are stored.
  */
 enum class HeartbeatCoverage {
-    /** The controller has not owned the machines for long enough to tell. */
+    /** The controller has not owned the machines for long enough to judge. */
     UNKNOWN,
 
     /** At most [ZoneEvidence.MAX_LATE_HEARTBEAT_SHARE] of the machines. */
@@ -38,8 +38,8 @@
 /** The heartbeat coverage of one zone as reported by one controller, in addition to its machine summaries. */
 data class ZoneCoverage(
     /**
-     * How many machines of the controller's shard in the zone are expected to send heartbeats. These have sent
-     * heartbeats before, to it or to an earlier owner, or have tasks.
+     * How many machines of the controller's shard in the zone are expected to send heartbeats: those that have tasks or
+     * have sent heartbeats before, to this controller or to an earlier owner.
      */
     val expected: Int,
     val coverage: HeartbeatCoverage,
--- a/src/main/kotlin/flaxfield/zones/TierBarrier.kt
+++ b/src/main/kotlin/flaxfield/zones/TierBarrier.kt
@@ -3,8 +3,8 @@
 import flaxfield.jobs.Job
 
 /**
- * Keeps jobs of less urgent tiers from overtaking a job that cannot be placed yet, because one of its placements is
- * still being written ([inFlight]) or another shard places it first. Valid for one scheduling round.
+ * Keeps jobs of less urgent tiers from overtaking a job that cannot be placed yet. Such a job has a placement that is
+ * still being written ([inFlight]), or another shard places it first. Valid for one scheduling round.
  */
 class TierBarrier(inFlight: Collection<Job>, private val tier: (Job) -> Int) {
     private var mostUrgentWaiting: Int? = inFlight.minOfOrNull(tier)
--- a/src/main/kotlin/flaxfield/zones/ZoneEvidence.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneEvidence.kt
@@ -11,7 +11,7 @@
     val isReachable: Boolean,
 ) {
     companion object {
-        /** Delayed heartbeats, sent just before a zone was lost, may arrive from this share of its machines. */
+        /** The maximum share of machines whose last heartbeats may still arrive, delayed, after their zone is lost. */
         const val MAX_LATE_HEARTBEAT_SHARE = 0.1
         const val MAJORITY_SHARE = 0.5
 
--- a/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
@@ -36,7 +36,7 @@
          */
         const val HEARTBEAT_TIMEOUT_LEASES = 0.4
 
-        /** Flaps beyond this number make the steps no longer. */
+        /** Flaps beyond this number do not lengthen the steps further. */
         const val MAX_FLAP_COUNT = 2
 
         private const val STEP_LEASES = 0.5
--- a/src/test/kotlin/flaxfield/codec/MapReaderTest.kt
+++ b/src/test/kotlin/flaxfield/codec/MapReaderTest.kt
@@ -31,7 +31,7 @@
     }
 
     @Test
-    fun `each value is read as from a decoded tree`() {
+    fun `streaming and tree decoding return the same values`() {
         val map = values.withIndex().associate { (i, v) -> "field $i" to v }
         val bytes = Cbor.encode(map)
         val tree = Cbor.decode(bytes)
--- a/src/test/kotlin/flaxfield/drain/DrainScenario.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainScenario.kt
@@ -61,7 +61,7 @@
             answered = true
             orderResults += result
             val mayRetry =
-                result is OrderResult.Refused && result.fault in setOf(OrderFault.UNAVAILABLE, OrderFault.UNKNOWN)
+                result is OrderResult.Refused && result.code in setOf(OrderErrorCode.UNAVAILABLE, OrderErrorCode.UNKNOWN)
             if (mayRetry) at(1.0) { order(order, controller + 1) }
         }
         at(2.0) { if (!answered) order(order, controller + 1) }
--- a/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/drain/DrainSimulationTest.kt
@@ -266,7 +266,7 @@
     }
 
     @Test
-    fun `a retried order gets the first result, also from another controller and after all have restarted`() {
+    fun `a retried order gets the first result, also from another controller and after a restart of all controllers`() {
         val scenario = DrainScenario(DrainScenarioPlan(70))
         scenario.at(40.0) { scenario.order(DrainOrder.Start("d-1", halfOfBig), 0) }
         scenario.at(46.0) { for (i in 0..2) scenario.cluster.kill(i, 2.0) }
@@ -274,7 +274,7 @@
         scenario.at(61.0) { scenario.order(DrainOrder.Start("d-1", zoneA), 1) }
         scenario.run(LONG_END_S)
         assertDone(scenario, "d-1")
-        val finalResults = scenario.orderResults.filter { it !is OrderResult.Refused || it.fault == OrderFault.CONFLICT }
+        val finalResults = scenario.orderResults.filter { it !is OrderResult.Refused || it.code == OrderErrorCode.CONFLICT }
         assertEquals(
             listOf("recorded", "recorded", "refused"),
             finalResults.map { if (it is OrderResult.Recorded) "recorded" else "refused" },
--- a/src/test/kotlin/flaxfield/drain/LoopbackDrain.kt
+++ b/src/test/kotlin/flaxfield/drain/LoopbackDrain.kt
@@ -19,9 +19,9 @@
 private class ClientRun(val code: Int, val text: String, val durationMs: Long)
 
 /** The controller processes of the built jar, on loopback addresses. */
-private class Controllers(private val world: LoopbackEnvironment, val nodes: List<LoopbackController>) {
+private class Controllers(private val environment: LoopbackEnvironment, val nodes: List<LoopbackController>) {
     private val files = nodes.associateWith { node ->
-        world.settingsFile(node) to LoopbackEnvironment.temporaryFile(
+        environment.settingsFile(node) to LoopbackEnvironment.temporaryFile(
             """{"version": 1, "listen": "127.0.0.1:${node.operatorPort}", "default_budget": {"percent": 20}}""",
         )
     }
@@ -34,14 +34,14 @@
             .redirectError(ProcessBuilder.Redirect.appendTo(log)).redirectOutput(ProcessBuilder.Redirect.DISCARD).start()
     }
 
-    fun client(vararg words: String, targets: List<LoopbackController> = nodes): ClientRun {
+    fun client(vararg arguments: String, targets: List<LoopbackController> = nodes): ClientRun {
         val endpoints = targets.flatMap { listOf("--endpoint", "127.0.0.1:${it.operatorPort}") }
         val startNs = System.nanoTime()
-        val process = ProcessBuilder(listOf(CLIENT) + words + endpoints).redirectErrorStream(true).start()
+        val process = ProcessBuilder(listOf(CLIENT) + arguments + endpoints).redirectErrorStream(true).start()
         val text = process.inputStream.bufferedReader().readText()
         val code = process.waitFor()
         return ClientRun(code, text, (System.nanoTime() - startNs) / 1_000_000).also {
-            println("${words.joinToString(" ")}: exit ${it.code}, ${it.durationMs} ms")
+            println("${arguments.joinToString(" ")}: exit ${it.code}, ${it.durationMs} ms")
         }
     }
 }
@@ -53,22 +53,22 @@
  */
 fun main() {
     val nodes = listOf(LoopbackController("n-0", "a"), LoopbackController("n-1", "b"), LoopbackController("n-2", "a"))
-    val world = LoopbackEnvironment(nodes, EnvironmentScale(machinesPerZone = 12, teams = TEAMS))
-    val controllers = Controllers(world, nodes)
+    val environment = LoopbackEnvironment(nodes, EnvironmentScale(machinesPerZone = 12, teams = TEAMS))
+    val controllers = Controllers(environment, nodes)
     for (node in nodes) controllers.start(node)
-    world.start()
+    environment.start()
     val jobs = (1..18).map { job(it) }
-    world.post { for ((n, j) in jobs.withIndex()) world.submit(j, n) }
+    environment.post { for ((n, j) in jobs.withIndex()) environment.submit(j, n) }
     var failures = 0
     try {
-        while (world.taskStarts() < jobs.sumOf { it.taskCount }) Thread.sleep(SECOND_MS / 2)
+        while (environment.taskStarts() < jobs.sumOf { it.taskCount }) Thread.sleep(SECOND_MS / 2)
         Thread.sleep(4 * SECOND_MS)
-        failures = drain(world, controllers)
+        failures = drain(environment, controllers)
     } finally {
         for (p in controllers.processes.values) p.destroyForcibly()
     }
-    println("violations: ${world.violations()}; ${if (failures == 0) "all as expected" else "$failures unexpected results"}")
-    exitProcess(if (failures == 0 && world.violations().isEmpty()) 0 else 1)
+    println("violations: ${environment.violations()}; ${if (failures == 0) "all as expected" else "$failures unexpected results"}")
+    exitProcess(if (failures == 0 && environment.violations().isEmpty()) 0 else 1)
 }
 
 private fun job(number: Int): JobSpec = Samples.spec(
@@ -79,15 +79,15 @@
     preemptible = false,
 ).copy(expectedRuntimeS = 600.0, checkpointDurationS = 1.0, imageGb = 0.1)
 
-private fun drain(world: LoopbackEnvironment, controllers: Controllers): Int {
+private fun drain(environment: LoopbackEnvironment, controllers: Controllers): Int {
     val runs = ArrayList<ClientRun>()
-    fun run(vararg words: String) = controllers.client(*words).also(runs::add)
+    fun run(vararg arguments: String) = controllers.client(*arguments).also(runs::add)
     run("budget", "list").also { println(it.text) }
     run("machines", "list")
     run("drain", "start", "--id", "d-1", "--type", "big", "--percent", "50").also { println(it.text) }
     Thread.sleep(4 * SECOND_MS)
     run("drain", "show", "d-1").also { println(it.text) }
-    val leader = controllers.nodes.first { it.name == world.leader() }
+    val leader = controllers.nodes.first { it.name == environment.leader() }
     println("killing the leader ${leader.name}")
     controllers.processes.getValue(leader).destroyForcibly().waitFor(5, TimeUnit.SECONDS)
     run("drain", "show", "d-1")
--- a/src/test/kotlin/flaxfield/operator/OperatorEndToEndTest.kt
+++ b/src/test/kotlin/flaxfield/operator/OperatorEndToEndTest.kt
@@ -33,14 +33,14 @@
 @TestMethodOrder(MethodOrderer.OrderAnnotation::class)
 class OperatorEndToEndTest {
     private val nodes = listOf(LoopbackController("n-0", "a"), LoopbackController("n-1", "b"), LoopbackController("n-2", "a"))
-    private val world = LoopbackEnvironment(nodes, EnvironmentScale(machinesPerZone = 6, teams = listOf("red", "blue")))
+    private val environment = LoopbackEnvironment(nodes, EnvironmentScale(machinesPerZone = 6, teams = listOf("red", "blue")))
 
     private class Result(val code: Int, val out: String, val err: String, val ms: Long)
 
     @BeforeAll
     fun start() {
         for (node in nodes) {
-            val settings = world.settingsFile(node)
+            val settings = environment.settingsFile(node)
             val fleet = LoopbackEnvironment.temporaryFile(
                 """{"version": 1, "listen": "127.0.0.1:${node.operatorPort}", "default_budget": {"percent": 50},
                    "budgets": {"red": {"cpus": 8, "accelerators": 2}}, "classes": {"class": "any"}}""",
@@ -48,14 +48,14 @@
             val run = Runnable { flaxfield.cli.main(arrayOf("serve", "--config", settings.path, "--fleet", fleet.path)) }
             Thread(run, node.name).apply { isDaemon = true }.start()
         }
-        world.start()
-        world.post { for (n in 1..6) world.submit(job(n), n) }
-        await("two task starts per job") { world.taskStarts() >= 12 }
+        environment.start()
+        environment.post { for (n in 1..6) environment.submit(job(n), n) }
+        await("two task starts per job") { environment.taskStarts() >= 12 }
         await("publication of all fleet files") { client("budget", "list").code == ExitCode.OK.number }
     }
 
     @AfterAll
-    fun restoreStateService() = world.outage(false)
+    fun restoreStateService() = environment.outage(false)
 
     private fun job(number: Int): JobSpec = Samples.spec(
         id = "job-$number",
@@ -103,7 +103,7 @@
 
     @Test
     @Order(1)
-    fun `all controllers give the same answer at the same revision within a second`() {
+    fun `all controllers give the same response at the same revision within a second`() {
         val machines = nodes.map { node ->
             parseJson(client("machines", "list", "--output", "json", targets = listOf(node)), MachineList.newBuilder())
         }
@@ -178,17 +178,17 @@
         assertEquals(0, done.drain.remaining)
         assertTrue(done.drain.target > 0)
         assertEquals(ExitCode.CONFLICT.number, client("drain", "cancel", "d-1").code)
-        assertEquals(emptyList<String>(), world.violations())
+        assertEquals(emptyList<String>(), environment.violations())
     }
 
     @Test
     @Order(4)
-    fun `during an outage of the state service, reads are answered and orders are refused at once`() {
-        world.outage(true)
+    fun `during an outage of the state service, reads succeed and orders are refused at once`() {
+        environment.outage(true)
         Thread.sleep(OUTAGE_DETECTION_MS)
         val order = client("drain", "start", "--zone", "b")
         val read = client("drain", "list")
-        world.outage(false)
+        environment.outage(false)
         assertEquals(ExitCode.NOT_NOW.number, order.code, order.err)
         assertTrue(order.ms < MAX_COMMAND_MS, "${order.ms} ms")
         assertEquals(ExitCode.OK.number, read.code, read.err)
--- a/src/test/kotlin/flaxfield/zones/FairSharesTest.kt
+++ b/src/test/kotlin/flaxfield/zones/FairSharesTest.kt
@@ -37,7 +37,7 @@
     }
 
     @Test
-    fun `a team blocked by one resource leaves the rest of the other to other teams`() {
+    fun `a team limited by an exhausted resource leaves its unused share of the other to other teams`() {
         val demands = listOf(
             TeamDemand("cpu", Capacity(10.0, 0.0), Team("cpu", 10.0, 0.0, 10.0, 0.0)),
             TeamDemand("both", Capacity(10.0, 10.0), Team("both", 10.0, 0.0, 10.0, 0.0)),
--- a/src/test/kotlin/flaxfield/zones/RepeatGuardTest.kt
+++ b/src/test/kotlin/flaxfield/zones/RepeatGuardTest.kt
@@ -27,7 +27,7 @@
         fun isHeld(record: ZoneRecord?, event: TaskEvent = unknownOutcome, job: Job = atMostOnceJob) =
             RepeatGuard(rules) { record }.mustDefer(job, event, "a")
         for (state in listOf(ZoneState.SUSPECT, ZoneState.LOST)) assertTrue(isHeld(base.copy(state = state)), "$state")
-        // Submitted before the loss ended: the task may have run during the loss, whatever the current state.
+        // Submitted before the loss ended: the task may have run during the loss, regardless of the current state.
         assertTrue(isHeld(base.copy(lossEndedMs = 6_000)))
         assertFalse(isHeld(base.copy(lossEndedMs = 4_000)))
         assertFalse(isHeld(null))
--- a/src/test/kotlin/flaxfield/zones/ZoneScenario.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneScenario.kt
@@ -130,7 +130,7 @@
 
     private var isWatching = false
 
-    /** Runs the simulation until the virtual time [untilS], and checks the invariants all the time. */
+    /** Runs the simulation until the virtual time [untilS], and checks the invariants continuously. */
     fun run(untilS: Double) {
         if (!isWatching) cluster.checkInvariantsPeriodically(FAULTS_END_S)
         isWatching = true
@@ -140,7 +140,7 @@
     /** Returns the violations of the cluster's invariants, of the store protocol and of the recovery checks. */
     fun violations(): List<String> = cluster.invariants.violations.take(5) + cluster.store.violations.take(5) + checker.violations()
 
-    /** Returns the ids of the jobs whose users have not been told a final phase. */
+    /** Returns the ids of the jobs whose users have not received a final phase. */
     fun unfinished(): List<String> = config.jobs.map { it.id }.filter {
         cluster.invariants.reportedPhase(it) !in
             InvariantChecker.FINAL_PHASES
@@ -149,10 +149,10 @@
     companion object {
         const val LOST_ZONE = "c"
 
-        /** Machines of each type in each zone with which two zones have enough capacity for all jobs. */
+        /** The number of machines of each type per zone with which two zones have enough capacity for all jobs. */
         const val AMPLE_MACHINES = 14
 
-        /** Machines of each type in each zone with which two zones lack the capacity for all jobs. */
+        /** The number of machines of each type per zone with which two zones lack the capacity for all jobs. */
         const val SCARCE_MACHINES = 8
 
         /** When all faults are over, so that invariants that hold only without faults are checked. */
--- a/src/test/kotlin/flaxfield/zones/ZoneSimulationTest.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneSimulationTest.kt
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 /**
- * Losses and returns of a zone together with failures of controllers and of the store. [ZoneChecker], which shares no
- * code with the planner, checks each recovery.
+ * Simulates losses and returns of a zone together with failures of controllers and of the store. [ZoneChecker], which
+ * shares no code with the planner, checks each recovery.
  */
 class ZoneSimulationTest {
     private fun assertRecovered(scenario: ZoneScenario, vararg unfinished: String) {
@@ -219,7 +219,7 @@
     }
 
     @Test
-    fun `tasks bound to a lost zone restart within the duration of its return`() {
+    fun `tasks bound to a lost zone restart within 30 s of the end of its partition`() {
         val bound = ZoneScenario.jobs().take(2).mapIndexed { n, spec -> spec.copy(id = "job-9$n", zone = ZoneScenario.LOST_ZONE) }
         val gang = ZoneScenario.jobs().first().copy(
             id = "job-92",
--- a/src/test/kotlin/flaxfield/zones/ZoneStateMachineTest.kt
+++ b/src/test/kotlin/flaxfield/zones/ZoneStateMachineTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** With a lease of 10 s, a step of the return lasts 5 s, and a suspect zone is lost after 6 s. */
+/** With a lease of 10 s, a step of the return ramp lasts 5 s, and a suspect zone is lost after 6 s. */
 class ZoneStateMachineTest {
     private val stateMachine = ZoneStateMachine(ZoneTimes(10.0))
     private val none = HeartbeatCoverage.NONE
