--- a/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
@@ -23,8 +23,8 @@
     private var nextClaimedTypesNs = 0L
 
     /**
-     * Returns the open machines of this shard with at least [minimum] free. The resources of placements in flight are
-     * subtracted.
+     * Returns the machines of this shard that accept tasks and have at least [minimum] free. The resources of
+     * placements in flight are subtracted.
      */
     fun list(minimum: Resources): List<PlacementCandidate> {
         hasSpotMachines = context.view.machines.values.any { it.preemptible }
@@ -55,7 +55,7 @@
         context.zones?.acceptsPlacements(machine) != false &&
         context.view.activeReservation(machine) == null &&
         !context.transactions.isWritePending(StoreKeys.MACHINE + machine.name) &&
-        workerHealth.state(machine.name) == MachineHealth.OK
+        workerHealth.health(machine.name) == MachineHealth.OK
 
     /** Returns those of [candidates] that a task of [job] may be placed on now. */
     fun eligible(job: Job, candidates: List<PlacementCandidate>): List<PlacementCandidate> =
@@ -103,7 +103,7 @@
         for (machine in view.machines.values) {
             val isHealthyOnDemand = !machine.preemptible &&
                 machine.isSchedulable &&
-                view.machineStatus(machine.name)?.state == MachineHealth.OK
+                view.machineStatus(machine.name)?.health == MachineHealth.OK
             if (!isHealthyOnDemand) continue
             if (view.jobsOn(machine.name).none { it.isGang }) openMachines.merge(machine.machineType, 1, Int::plus)
         }
--- a/src/main/kotlin/flaxfield/arrays/GangCapacityReservation.kt
+++ b/src/main/kotlin/flaxfield/arrays/GangCapacityReservation.kt
@@ -9,8 +9,8 @@
 /**
  * Reserves capacity that arrays must not use, in two forms. On-demand machines are reserved by machine type for jobs
  * that can't run on spot machines and recently requested such a type. A part of each team's quota is reserved for its
- * gangs. Without these, arrays occupy the only on-demand machines, and gangs must wait or evict them. Confined to the
- * owner thread; [update] applies the current view.
+ * gangs. Without reservations, arrays occupy the only on-demand machines, and gangs must wait or evict them. Confined
+ * to the owner thread; [update] applies the current view.
  */
 class GangCapacityReservation {
     /** The expiry of the reservation of on-demand machines, by machine type label, in wall-clock milliseconds. */
--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -23,7 +23,7 @@
     private fun evictFromDraining(term: ULong) {
         for (machine in context.shards.ownedMachines()) {
             if (machine.phase != MachinePhase.DRAINING) continue
-            val tasks = context.view.on(machine.name).filter { !it.placed.stopping && !it.job.isGang }
+            val tasks = context.view.placedTasksOn(machine.name).filter { !it.placed.stopping && !it.job.isGang }
             halt(tasks, term, "machine_returning:${machine.name}")
         }
     }
@@ -55,7 +55,7 @@
     ): List<PlacedTask> {
         var free = context.view.free(machine) ?: return emptyList()
         val required = gang.spec.taskResources * tasks
-        val placedTasks = context.view.on(machine.name)
+        val placedTasks = context.view.placedTasksOn(machine.name)
         for (task in placedTasks) {
             if (task.placed.stopping || task.job.cancelled) free += task.job.spec.taskResources
         }
--- a/src/main/kotlin/flaxfield/arrays/MachineStatus.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineStatus.kt
@@ -23,7 +23,7 @@
 
 /** One machine's row in a shard summary. */
 data class MachineStatus(
-    val state: MachineHealth,
+    val health: MachineHealth,
     val incarnation: ULong,
     /** The address of the worker's agent, as host and port. */
     val address: String,
--- a/src/main/kotlin/flaxfield/arrays/PlacementCandidate.kt
+++ b/src/main/kotlin/flaxfield/arrays/PlacementCandidate.kt
@@ -10,7 +10,7 @@
  */
 class PlacementCandidate(
     val machine: Machine,
-    /** The agent incarnation that a placement on this machine is bound to. */
+    /** The worker incarnation that a placement on this machine is bound to. */
     val incarnation: ULong,
     /** The resources that are neither used by a task record nor assumed by an attempt. */
     var free: Resources,
@@ -24,7 +24,7 @@
     /** Returns a copy for an attempt that assumes tasks independently. */
     fun copy() = PlacementCandidate(machine, incarnation, free, images, isEmpty, taskSlots)
 
-    /** Returns the machine and agent incarnation that a task placed here is bound to. */
+    /** Returns the machine and worker incarnation that a task placed here is bound to. */
     fun target() = Job.Target(machine.name, incarnation)
 
     /** Whether one more task of [job] may run on the machine and fits into its free resources. */
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryCodec.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryCodec.kt
@@ -20,7 +20,7 @@
 
     private fun machineRow(entry: Map.Entry<String, MachineStatus>): List<Any?> {
         val (name, status) = entry
-        return listOf(name, status.state.ordinal, status.incarnation, status.address, status.images)
+        return listOf(name, status.health.ordinal, status.incarnation, status.address, status.images)
     }
 
     /** Decodes a stored summary. Throws if [fields] are not a valid summary. */
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryPages.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryPages.kt
@@ -3,11 +3,11 @@
 import flaxfield.BYTES_PER_KIB
 
 /**
- * Distributes a shard's machines over pages by a hash of their names. Each page fits one value of the key-value store
- * whatever the number of machines, and the change of one machine writes one page only. Pure functions.
+ * Distributes a shard's machines over pages by a hash of their names. Each page fits into one value of the store for
+ * any number of machines, and a change of one machine writes only one page. Pure functions.
  */
 object ShardSummaryPages {
-    /** The maximum size of a row. Images get the bytes that name, state, incarnation and address leave. */
+    /** The maximum size of a row. Images get the bytes that name, health, incarnation and address leave. */
     const val MAX_ROW_BYTES = 320
 
     /** The size of a row without its images. */
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
@@ -12,7 +12,7 @@
 import flaxfield.zones.ZoneCoverage
 
 /**
- * Publishes the status of this controller's machines to the leader, in pages. A page is written when a machine's state
+ * Publishes the status of this controller's machines to the leader, in pages. A page is written when a machine's health
  * or incarnation changes, and less often if only images have changed. Confined to the owner thread.
  */
 class ShardSummaryPublisher(private val context: ControllerContext, private val workerHealth: WorkerHealth) {
@@ -40,7 +40,7 @@
             val previous = published[page]
             val current = ShardSummary(term, statuses[page], if (page == 0) zoneCoverage(previous) else null)
             if (current == previous) continue
-            val isUrgent = previous == null || !haveSameStates(previous, current)
+            val isUrgent = previous == null || !differOnlyInImagesOrAddresses(previous, current)
             if (isUrgent || isImageUpdateDue) write(page, current, isUrgent)
         }
     }
@@ -54,7 +54,7 @@
         val statuses = Array(pages) { HashMap<String, MachineStatus>() }
         for (machine in owned) {
             statuses[ShardSummaryPages.pageOf(machine.name, pages)][machine.name] =
-                workerHealth.workerState(machine.name).toMachineStatus(workerHealth.state(machine.name))
+                workerHealth.workerState(machine.name).toMachineStatus(workerHealth.health(machine.name))
         }
         return statuses
     }
@@ -71,13 +71,13 @@
     }
 
     /** Whether the summaries differ at most in images and addresses. */
-    private fun haveSameStates(previous: ShardSummary, current: ShardSummary): Boolean =
+    private fun differOnlyInImagesOrAddresses(previous: ShardSummary, current: ShardSummary): Boolean =
         previous.zoneCoverage == current.zoneCoverage &&
             previous.machines.size == current.machines.size &&
-            current.machines.all { (name, status) -> hasSameState(previous.machines[name], status) }
+            current.machines.all { (name, status) -> hasSameHealthAndIncarnation(previous.machines[name], status) }
 
-    private fun hasSameState(previous: MachineStatus?, current: MachineStatus): Boolean =
-        previous != null && previous.state == current.state && previous.incarnation == current.incarnation
+    private fun hasSameHealthAndIncarnation(previous: MachineStatus?, current: MachineStatus): Boolean =
+        previous != null && previous.health == current.health && previous.incarnation == current.incarnation
 
     private fun write(page: Int, summary: ShardSummary, isUrgent: Boolean) {
         val key = StoreKeys.shardSummary(context.self.name, page)
--- a/src/main/kotlin/flaxfield/controller/CommandQueue.kt
+++ b/src/main/kotlin/flaxfield/controller/CommandQueue.kt
@@ -5,9 +5,9 @@
 import kotlin.concurrent.withLock
 
 /**
- * The command queue of the owner thread, with room for [capacity] messages from workers and peers and fewer from users.
- * Follow-ups of this process come first, then workers and peers, then users: when all workers reconnect at once, polls
- * of users must not cost them their leases. Safe to call from any thread.
+ * The command queue of the owner thread. It holds up to [capacity] messages from workers and peers, and fewer from
+ * users. Follow-ups of this process come first, then workers and peers, then users: when all workers reconnect at once,
+ * polls of users must not delay heartbeats until leases expire. Safe to call from any thread.
  */
 class CommandQueue(private val capacity: Int) {
     private val followUps = ArrayDeque<Command>()
--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The event loop of one controller, which owns all of its state and makes all of its decisions. [handle] and [runDueWork] are
- * called by a single owner: the owner thread of a process, or the event loop of a simulation in tests.
+ * The event loop of one controller, which owns all of its state and makes all of its decisions. [handle] and
+ * [runDueWork] are called by a single owner: the owner thread of a process, or the event loop of a simulation in tests.
  */
 class Controller(
     settings: Settings,
--- a/src/main/kotlin/flaxfield/controller/ControllerDuties.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerDuties.kt
@@ -17,7 +17,7 @@
     /** Scales the fleet out and in. Runs at the end of a tick, unless a backlog of heartbeats defers it. */
     val fleet = Duty("fleet") { modules.fleet.run() }
 
-    /** Plan work: update reservations, commit task events, then place gangs before arrays. */
+    /** Planning: updates reservations, commits task events, and then places gangs before arrays. */
     val planning: List<Duty> = listOf(
         Duty("reserved") { context.scheduling.refresh() },
         Duty("settlement") { modules.taskEvents.run() },
--- a/src/main/kotlin/flaxfield/controller/Leadership.kt
+++ b/src/main/kotlin/flaxfield/controller/Leadership.kt
@@ -11,7 +11,7 @@
     /** Whether this process's lease in the store is guaranteed to be valid now. */
     fun leaseValid(): Boolean = clock.monotonicNs() < leaseUntilNs
 
-    /** The current term, which is also the workers' fencing token; null if this process is no member under it. */
+    /** The current term, which is also the workers' fencing token; null if this process is not a member in it. */
     fun term(): ULong? = view.assignment?.takeIf { it.contains(self) }?.term
 
     /** Whether this process may make decisions now: it is a member and its lease is guaranteed to be valid. */
--- a/src/main/kotlin/flaxfield/controller/PeerMessageRouter.kt
+++ b/src/main/kotlin/flaxfield/controller/PeerMessageRouter.kt
@@ -11,7 +11,7 @@
         when (val message = command.message) {
             is PeerMessage.PeerHeartbeat -> peers.receiveHeartbeat(message)
             is PeerMessage.ForwardedHeartbeat ->
-                heartbeats.forwardedHeartbeat(message.heartbeat, forwardedResponder(message.id, command.respond))
+                heartbeats.handleForwarded(message.heartbeat, forwardedResponder(message.id, command.respond))
             // Responses arrive on the connection over which the heartbeat was forwarded, not through the queue.
             is PeerMessage.ForwardedResponse -> Unit
         }
--- a/src/main/kotlin/flaxfield/controller/RequestRouter.kt
+++ b/src/main/kotlin/flaxfield/controller/RequestRouter.kt
@@ -19,7 +19,7 @@
         val path = request.path
         when {
             path == ApiPath.HEARTBEAT ->
-                requireMethod("POST", request) { heartbeats.heartbeat(request.body, request.responder) }
+                requireMethod("POST", request) { heartbeats.handle(request.body, request.responder) }
             path == ApiPath.JOBS -> requireMethod("POST", request) { jobs.submit(request.body, request.responder) }
             path.startsWith(ApiPath.JOB_PREFIX) -> routeJob(request)
             path == ApiPath.READY -> requireMethod("GET", request) { sendReadiness(request) }
--- a/src/main/kotlin/flaxfield/controller/RevisionProbe.kt
+++ b/src/main/kotlin/flaxfield/controller/RevisionProbe.kt
@@ -21,7 +21,7 @@
     /** Sends a probe if none is in flight and the view may be older than the probe interval. */
     fun tick() {
         val nowNs = context.nowNs
-        if (isInFlight || nowNs < nextProbeNs || context.viewFreshness.within(intervalNs, nowNs)) return
+        if (isInFlight || nowNs < nextProbeNs || context.viewFreshness.isWithin(intervalNs, nowNs)) return
         if (!context.transactions.budget.take(WriteCause.LEASE, 0, nowNs)) return
         isInFlight = true
         nextProbeNs = nowNs + intervalNs
@@ -32,8 +32,8 @@
         isInFlight = false
         if (result !is ReadResult.Absent) return
         context.storeContact.noteResponse()
-        context.viewFreshness.read(sentNs, result.revision)
-        context.viewFreshness.reached(context.view.revision)
+        context.viewFreshness.recordRead(sentNs, result.revision)
+        context.viewFreshness.onViewReached(context.view.revision)
     }
 
     private companion object {
--- a/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
+++ b/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
@@ -41,7 +41,7 @@
         starvation.update(view.jobs.values, clock.wallClockMs())
     }
 
-    /** Whether [job] has waited so long that reservations no longer hold it back. */
+    /** Whether [job] has waited so long that reservations no longer apply to it. */
     fun isStarved(job: Job): Boolean = starvation.isStarved(job, clock.wallClockMs())
 
     /**
--- a/src/main/kotlin/flaxfield/controller/StoreContact.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreContact.kt
@@ -4,7 +4,7 @@
 
 /** Tracks when the store last responded to this process, to detect an outage or a partition of this process alone. */
 class StoreContact(private val clock: Clock) {
-    /** The monotonic time of the last response that was no error; 0 before the first. */
+    /** The monotonic time of the last response that was not an error; 0 before the first. */
     var lastResponseNs: Long = 0
         private set
 
--- a/src/main/kotlin/flaxfield/controller/StoreLister.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreLister.kt
@@ -55,7 +55,7 @@
         context.storeContact.noteResponse()
         if (firstRevision == null) {
             firstRevision = page.revision
-            context.viewFreshness.read(sentNs, page.revision)
+            context.viewFreshness.recordRead(sentNs, page.revision)
         }
         for (item in page.items) replica.apply(item)
         if (page.more && page.items.isNotEmpty()) listAfter(page.items.last().key) else finish(page.revision)
--- a/src/main/kotlin/flaxfield/controller/StoreReflector.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreReflector.kt
@@ -55,7 +55,7 @@
         } else {
             // Later pages may contain parts of newer transactions: the view is consistent only after the first watch.
             replica.advance(first)
-            context.viewFreshness.reached(first)
+            context.viewFreshness.onViewReached(first)
         }
         log.info(
             "event=view_listed revision={} jobs={} machines={}",
@@ -104,7 +104,7 @@
             replica.apply(item)
             if (isDeletedMachine(item)) workerHealth.forget(item.key.removePrefix(StoreKeys.MACHINE))
         }
-        context.viewFreshness.read(sentNs, changes.revision)
+        context.viewFreshness.recordRead(sentNs, changes.revision)
         advance(changes.revision)
         tick()
     }
@@ -114,7 +114,7 @@
     /** Marks the view as complete up to [revision] and notifies everything that waits for it. */
     private fun advance(revision: ULong) {
         replica.advance(revision)
-        context.viewFreshness.reached(context.view.revision)
+        context.viewFreshness.onViewReached(context.view.revision)
         hasSynced = true
         context.decisions.request()
         context.transactions.releaseSettledKeys()
--- a/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
+++ b/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
@@ -62,7 +62,7 @@
     fun submit(cause: WriteCause, transaction: Transaction, done: (TransactionOutcome) -> Unit = {}): Boolean {
         if (!mayWrite(cause, transaction.changes.size)) return false
         if (isRejected(transaction)) return false
-        val violation = TransactionSize.fault(transaction, settings.stateLimits)
+        val violation = TransactionSize.violation(transaction, settings.stateLimits)
         if (violation != null) {
             reject(transaction, violation)
             return false
@@ -119,7 +119,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.store")
 
-        /** Above this number, all rejected keys are forgotten to bound the memory. */
+        /** Above this number, all rejected keys are removed to bound the memory. */
         const val MAX_REJECTED_KEYS = 4_000
     }
 }
--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -68,7 +68,7 @@
     }
 
     private fun isUnreachable(placement: Placement): Boolean =
-        snapshot.machineStatuses[placement.machineName]?.state == MachineHealth.SILENT
+        snapshot.machineStatuses[placement.machineName]?.health == MachineHealth.SILENT
 
     private fun count(): Map<String, TeamAvailability> {
         val totals = HashMap<String, Totals>()
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -125,7 +125,7 @@
         var units = action.units
         while (units.isNotEmpty()) {
             val transaction = EvictionTransaction(snapshot, term).build(action.drain, action.machines, units)
-            if (TransactionSize.fault(transaction, limits) == null) {
+            if (TransactionSize.violation(transaction, limits) == null) {
                 if (transaction.changes.any { context.transactions.isWritePending(it.key) }) return
                 return submitEviction(action, units, transaction, term)
             }
--- a/src/main/kotlin/flaxfield/drain/EvictionPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/EvictionPlanner.kt
@@ -83,7 +83,7 @@
         units: List<DisruptionUnit>,
     ): WaitReason? {
         if (machine.phase != MachinePhase.UP || units.isEmpty()) return null
-        val health = snapshot.machineStatuses[machine.name]?.state ?: MachineHealth.UNSEEN
+        val health = snapshot.machineStatuses[machine.name]?.health ?: MachineHealth.UNSEEN
         if (health in UNDRAINABLE) return WaitReason.NotReporting(health)
         val activeUnits = units.filter { !it.job.cancelled }
         // While a task that forbids restarts runs, the machine can't be emptied: its other tasks run on too.
--- a/src/main/kotlin/flaxfield/fleet/BootStatus.kt
+++ b/src/main/kotlin/flaxfield/fleet/BootStatus.kt
@@ -14,10 +14,9 @@
 
     companion object {
         /**
-         * Pure: returns the status of a machine [ageS] seconds after its rental. [laterRentalsUp] tells whether
-         * machines of its type that were rented later are up already, so that only this one is slow. Otherwise the
-         * whole type is taken to be slow. A replacement would be as slow, so the limits are multiplied by
-         * [SLOW_TYPE_FACTOR].
+         * Returns the status of a machine [ageS] seconds after its rental. If [laterRentalsUp], machines of its type
+         * that were rented later are up already, so only this one is slow. Otherwise the whole type is assumed to be
+         * slow. A replacement would be as slow, so the limits are multiplied by [SLOW_TYPE_FACTOR]. Pure.
          */
         fun of(ageS: Double, bootTimeS: Double, laterRentalsUp: Boolean): BootStatus {
             val bootTimes = ageS / bootTimeS / (if (laterRentalsUp) 1 else SLOW_TYPE_FACTOR)
--- a/src/main/kotlin/flaxfield/fleet/CloudInventory.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudInventory.kt
@@ -13,8 +13,8 @@
     private val cloud: CloudClient,
     private val rateLimiter: CloudRateLimiter,
 ) {
-    /** The machines on the pages read so far; the next page starts after the machine named [from]. */
-    private class PartialList(val from: String?, val machines: List<ListedMachine>)
+    /** The machines on the pages read so far; the next page starts after [lastMachineName]. */
+    private class PartialList(val lastMachineName: String?, val machines: List<ListedMachine>)
 
     private var requestInFlight = false
 
@@ -55,7 +55,7 @@
         if (!rateLimiter.tryAcquire(context.nowNs)) return
         requestInFlight = true
         val previousPages = partialList ?: PartialList(null, emptyList())
-        cloud.listMachines(previousPages.from) { page -> context.post { onPage(previousPages, page) } }
+        cloud.listMachines(previousPages.lastMachineName) { page -> context.post { onPage(previousPages, page) } }
     }
 
     private fun onPage(previousPages: PartialList, page: MachineListPage?) {
--- a/src/main/kotlin/flaxfield/fleet/DemandMerger.kt
+++ b/src/main/kotlin/flaxfield/fleet/DemandMerger.kt
@@ -4,8 +4,8 @@
 import flaxfield.jobs.Resources
 
 /**
- * Pure: merges small demands of the same kind, which keeps bin packing cheap with thousands of small jobs. The task
- * resources of a merged demand are the maximum over its parts, for each resource.
+ * Merges small demands of the same kind, which keeps bin packing cheap with thousands of small jobs. The task
+ * resources of a merged demand are the maximum over its parts, for each resource. Pure functions.
  */
 object DemandMerger {
     /** Demands with more tasks than this are not merged. */
--- a/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
@@ -63,7 +63,7 @@
      * Whether the view is recent enough to include this process's own writes. With a stale view the same machines
      * would be requested again.
      */
-    private fun isViewFresh(): Boolean = context.viewFreshness.within(
+    private fun isViewFresh(): Boolean = context.viewFreshness.isWithin(
         secondsToNs(context.settings.workers.heartbeatIntervalS * MAX_VIEW_AGE_HEARTBEATS),
         context.nowNs,
     )
@@ -88,7 +88,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.fleet")
 
-        /** The maximum age of the view for a plan, in heartbeat intervals: a lost response is repeated within one. */
+        /** The maximum age of the view for a plan, in heartbeat intervals: a failed request is repeated within one. */
         const val MAX_VIEW_AGE_HEARTBEATS = 1.5
 
         /**
--- a/src/main/kotlin/flaxfield/fleet/OfferSelector.kt
+++ b/src/main/kotlin/flaxfield/fleet/OfferSelector.kt
@@ -16,8 +16,8 @@
 }
 
 /**
- * Pure: selects the offer with the lowest price per task that a new machine would run. Ties are broken by the lowest
- * [load] of the zone, then by the order of the machine types and their zones.
+ * Selects the offer with the lowest price per task that a new machine would run. Ties are broken by the lowest
+ * [load] of the zone, then by the order of the machine types and their zones. Pure.
  *
  * [price] returns the hourly price of an offer, or null if it can't be rented now.
  */
--- a/src/main/kotlin/flaxfield/fleet/OnDemandUrgency.kt
+++ b/src/main/kotlin/flaxfield/fleet/OnDemandUrgency.kt
@@ -2,7 +2,10 @@
 
 import flaxfield.quota.JobOrder
 
-/** Pure: decides when a job that could use spot machines is urgent enough for on-demand machines, which cost more. */
+/**
+ * Decides when a job that could use spot machines is urgent enough for on-demand machines, which cost more. Pure
+ * functions.
+ */
 object OnDemandUrgency {
     /**
      * Whether a waiting job will miss a service-level objective unless a machine is rented for it now.
--- a/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
@@ -105,7 +105,7 @@
     private fun reason(machine: Machine, overdueJob: Job?, workersHadTimeToReport: Boolean): RetirementReason? {
         val machineType = context.view.machineTypes[machine.machineType] ?: return null
         if (scaleIn.isFailed(machine.name)) return RetirementReason.FAILED
-        val health = context.view.machineStatus(machine.name)?.state ?: return null
+        val health = context.view.machineStatus(machine.name)?.health ?: return null
         return when {
             health == MachineHealth.SILENT ->
                 RetirementReason.SILENT.takeIf { context.zones?.mayReleaseUnreachable(machine) != false }
--- a/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
@@ -91,7 +91,7 @@
             // A machine that was returned as orphaned may have got its record in the meantime, and may still be given
             // tasks. It is retired and returned again.
             if (machine.phase == MachinePhase.RETIRING) returned += machineName
-            for (task in context.view.on(machineName)) {
+            for (task in context.view.placedTasksOn(machineName)) {
                 val event = TaskEvent.Lost(
                     task.job.id,
                     task.placed.index,
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
@@ -101,7 +101,7 @@
 
     /** Whether [machine] is up or still booting; a machine with an overdue boot is replaced. */
     private fun isUpOrBooting(machine: Machine): Boolean =
-        when (context.view.machineStatus(machine.name)?.state ?: MachineHealth.UNSEEN) {
+        when (context.view.machineStatus(machine.name)?.health ?: MachineHealth.UNSEEN) {
             MachineHealth.OK -> true
             MachineHealth.UNSEEN -> {
                 val machineType = context.view.machineTypes[machine.machineType]
@@ -128,7 +128,7 @@
             val isIdle = machine.isSchedulable &&
                 machine.name !in usedMachines &&
                 (view.isEmpty(machine.name) || !hasArrayBacklog && hasOnlyBackfill(machine)) &&
-                view.machineStatus(machine.name)?.state == MachineHealth.OK
+                view.machineStatus(machine.name)?.health == MachineHealth.OK
             idleMachines.update(machine.name, isIdle, nowNs)
         }
         idleMachines.retain(view.machines.keys)
--- a/src/main/kotlin/flaxfield/fleet/SpareCapacity.kt
+++ b/src/main/kotlin/flaxfield/fleet/SpareCapacity.kt
@@ -7,7 +7,7 @@
 /** The arrival rate of the tasks of a job class, and the spec of its latest job as the template for the next ones. */
 data class ArrivalRate(val latest: JobSpec, val tasksPerS: Double)
 
-/** Pure: computes the spare capacity (headroom) for jobs that have not arrived yet. */
+/** Computes the spare capacity (headroom) for jobs that have not arrived yet. Pure functions. */
 object SpareCapacity {
     /**
      * Returns one demand per job class: the tasks that arrive within [provisioningS], the time to provision a machine,
--- a/src/main/kotlin/flaxfield/gangs/GangCandidates.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangCandidates.kt
@@ -67,7 +67,7 @@
     private fun acceptsPlacements(machine: Machine): Boolean = context.zones?.acceptsPlacements(machine) != false
 
     private fun healthyStatus(machineName: String): MachineStatus? =
-        context.view.machineStatus(machineName)?.takeIf { it.state == MachineHealth.OK }
+        context.view.machineStatus(machineName)?.takeIf { it.health == MachineHealth.OK }
 
     private fun candidate(machine: Machine, status: MachineStatus): PlacementCandidate? {
         val free = context.view.free(machine) ?: return null
--- a/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
@@ -45,7 +45,7 @@
         val view = context.view
         view.machines.values.filter { machine -> machine.isSchedulable && view.jobsOn(machine.name).any { it.isGang } }
             .mapNotNull { machine ->
-                val status = view.machineStatus(machine.name)?.takeIf { it.state == MachineHealth.OK }
+                val status = view.machineStatus(machine.name)?.takeIf { it.health == MachineHealth.OK }
                 status?.let { ObservedMachine(machine, it) }
             }
     }
@@ -110,7 +110,8 @@
         val view = context.view
         return when {
             other.cancelled || mayEvict(job, isGuaranteed, other) -> view.taskCountOn(machineName, other.id)
-            other.id in view.halting -> view.on(machineName).count { it.job.id == other.id && it.placed.stopping }
+            other.id in view.halting ->
+                view.placedTasksOn(machineName).count { it.job.id == other.id && it.placed.stopping }
             else -> 0
         }
     }
--- a/src/main/kotlin/flaxfield/gangs/ImageLocality.kt
+++ b/src/main/kotlin/flaxfield/gangs/ImageLocality.kt
@@ -8,8 +8,8 @@
 /** Decides whether a gang waits for machines that have its image rather than fetch it elsewhere. Pure functions. */
 object ImageLocalityDelay {
     /**
-     * Returns true if all of the following hold: a start that fetches the image misses the tightest of [objectivesS], a
-     * start without the fetch can still meet it, and enough machines with the image are in use. [busyMachines] is the
+     * Whether a gang should wait. It should if fetching the image misses the tightest of [objectivesS], a start without
+     * the fetch can still meet it, and enough machines with the image are in use. [busyMachines] is the
      * number of these machines, and [competingTasks] the number of tasks that wait for one.
      */
     fun shouldDelay(
--- a/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
+++ b/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
@@ -40,9 +40,9 @@
         job !== quotaBlocked && job.spec.team == quotaBlocked.spec.team && job.submittedMs > quotaBlocked.submittedMs
 
     /**
-     * Returns [candidates] without the machines that [job] will use: enough for all its tasks and, if it is bound to
-     * one zone, in the zone that fits most of them. [afterEviction] are the same machines without the tasks that it may
-     * preempt.
+     * Returns [candidates] without the machines that are reserved for [job]. Enough machines are reserved for all its
+     * tasks. If it is bound to one zone, they are in the zone that fits most of its tasks. [afterEviction] are the same
+     * candidates once all tasks that [job] may preempt have terminated.
      */
     fun withoutReserved(
         job: Job,
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobSweeper.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobSweeper.kt
@@ -21,10 +21,10 @@
             val transaction = JobTransactions.close(context, job, aborted = job.cancelled, fenced = true)
             if (!context.transactions.submit(WriteCause.FINISH, transaction)) return
         }
-        deleteStrayChunks()
+        deleteOrphanedChunks()
     }
 
-    private fun deleteStrayChunks() {
+    private fun deleteOrphanedChunks() {
         val orphanedChunks = context.view.orphanedChunks.keys.filter {
             !context.transactions.isWritePending(StoreKeys.JOB_CHUNK + it)
         }
--- a/src/main/kotlin/flaxfield/jobs/JobChunk.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobChunk.kt
@@ -17,7 +17,7 @@
     val version: ULong,
     /**
      * Tasks that left a machine without completing and are not yet known to run again. Recorded only if disruption
-     * budgets are enabled, so that a new leader knows of losses that it did not observe.
+     * budgets are enabled, so that a new leader learns of losses that it did not observe.
      */
     val interrupted: Set<Int> = emptySet(),
 ) {
--- a/src/main/kotlin/flaxfield/jobs/JobResponse.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobResponse.kt
@@ -13,7 +13,7 @@
     /** The status of a finished job. */
     data class Finished(val job: FinishedJob) : JobResponse
 
-    /** The status of an accepted job about which nothing else is known. */
+    /** The status of an accepted job whose record cannot be decoded. */
     data class Pending(val id: String) : JobResponse
 
     /** The submission has been committed. */
--- a/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
+++ b/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
@@ -69,8 +69,8 @@
 
     private fun onRevision(revision: ULong, sentNs: Long, sent: List<Waiter>) {
         context.storeContact.noteResponse()
-        context.viewFreshness.read(sentNs, revision)
-        context.viewFreshness.reached(context.view.revision)
+        context.viewFreshness.recordRead(sentNs, revision)
+        context.viewFreshness.onViewReached(context.view.revision)
         for (waiter in sent) waiter.requiredRevision = revision
         onViewAdvanced()
     }
--- a/src/main/kotlin/flaxfield/jobs/Placement.kt
+++ b/src/main/kotlin/flaxfield/jobs/Placement.kt
@@ -1,7 +1,7 @@
 package flaxfield.jobs
 
 /**
- * The record of a placed task: this [attempt] may run on [machineName] until it is confirmed to have left.
+ * The record of a placed task: this [attempt] may run on [machineName] until its termination there is confirmed.
  *
  * @property incarnation the worker incarnation that the task was placed on; a newer incarnation has lost the task
  * @property stopping whether the task must stop, to be placed again elsewhere
--- a/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
+++ b/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
@@ -6,16 +6,16 @@
 
 /** Why a job makes no progress. */
 enum class StallReason {
-    /** It failed on several machines, and its retry delay has not expired. */
+    /** The job failed on several machines, and its retry delay has not expired. */
     BACKS_OFF,
 
     /** Pending tasks wait for free resources. */
     WAITS_FOR_RESOURCES,
 
-    /** Tasks must leave their machines, and it is not confirmed yet that they have. */
+    /** Tasks are stopping, and their termination has not been confirmed yet. */
     WAITS_FOR_PROOF,
 
-    /** All its tasks are placed, so it does make progress. */
+    /** All tasks of the job are placed, so it does make progress. */
     NOT_STALLED,
 
     /** A task is recorded on a machine whose record was deleted. */
@@ -25,8 +25,8 @@
 /** Determines why a job makes no progress. Pure functions. */
 object StallRules {
     /**
-     * Returns why [job] makes no progress. [machineExists] tells whether a machine has a record, which is deleted only
-     * after the cloud has confirmed the machine's return.
+     * Returns why [job] makes no progress. [machineExists] returns whether a machine has a record. The record is
+     * deleted only after the cloud has confirmed the machine's return.
      */
     fun reason(job: Job, nowMs: Long, machineExists: (String) -> Boolean): StallReason = when {
         job.allPlaced().any { !machineExists(it.machineName) } -> StallReason.MACHINE_GONE
@@ -38,8 +38,8 @@
 }
 
 /**
- * Detects jobs whose records do not change. The leader logs them, and records tasks on removed machines as lost, which
- * nothing else does.
+ * Detects jobs whose records do not change. The leader logs them, and records tasks on removed machines as lost. Only
+ * this class records such losses.
  */
 class StallMonitor(private val context: ControllerContext, private val taskEvents: TaskEventCommitter) {
     /** A version of a job's records, and when this monitor first saw it. */
@@ -72,7 +72,9 @@
 
     private fun check(job: Job, observation: Observation) {
         val unchangedS = (context.nowNs - observation.sinceNs) / NANOS_PER_SECOND
-        if (unchangedS > context.settings.workers.leaseS && reason(job) == StallReason.MACHINE_GONE) loseOrphans(job)
+        if (unchangedS > context.settings.workers.leaseS && reason(job) == StallReason.MACHINE_GONE) {
+            recordOrphansAsLost(job)
+        }
         if (unchangedS < STALL_THRESHOLD_S * (observation.logCount + 1)) return
         observation.logCount++
         val reason = reason(job)
@@ -86,7 +88,7 @@
      * Records tasks on removed machines as lost. A machine's record is deleted only after the cloud has confirmed its
      * return, and machine names are never reused.
      */
-    private fun loseOrphans(job: Job) {
+    private fun recordOrphansAsLost(job: Job) {
         for (placement in job.allPlaced().filter { it.machineName !in context.view.machines }) {
             taskEvents.add(
                 TaskEvent.Lost(
--- a/src/main/kotlin/flaxfield/jobs/TaskEvent.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskEvent.kt
@@ -9,7 +9,7 @@
     /** The attempt ran to completion. */
     data class Completed(override val job: String, override val index: Int, override val attempt: Long) : TaskEvent
 
-    /** The attempt is certainly no longer on [machineName], and is not known to have completed. */
+    /** The attempt is proven to have left [machineName], and is not known to have completed. */
     data class Lost(
         override val job: String,
         override val index: Int,
--- a/src/main/kotlin/flaxfield/operator/JobExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/JobExplainer.kt
@@ -77,7 +77,7 @@
     /** Whether the worker incarnation that runs the task still reports. */
     private fun isReporting(placement: Placement): Boolean {
         val status = snapshot.machineStatuses[placement.machineName]
-        return status?.state == MachineHealth.OK && status.incarnation == placement.incarnation
+        return status?.health == MachineHealth.OK && status.incarnation == placement.incarnation
     }
 
     private fun limitedByQuota(job: Job): JobReason? {
--- a/src/main/kotlin/flaxfield/operator/MachineResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/MachineResponses.kt
@@ -17,7 +17,7 @@
             }
         }
         return snapshot.machines.values.sortedBy { it.name }.map { machine ->
-            val health = snapshot.machineStatuses[machine.name]?.state ?: MachineHealth.UNSEEN
+            val health = snapshot.machineStatuses[machine.name]?.health ?: MachineHealth.UNSEEN
             Machine.newBuilder()
                 .setName(machine.name)
                 .setMachineType(machine.machineType)
--- a/src/main/kotlin/flaxfield/operator/PlacementExplainer.kt
+++ b/src/main/kotlin/flaxfield/operator/PlacementExplainer.kt
@@ -19,7 +19,7 @@
         }
         if (allowed.isEmpty()) return JobReason("no_machine", "no machine of an allowed type, zone and kind is rented")
         val schedulable = allowed.filter {
-            it.isSchedulable && snapshot.machineStatuses[it.name]?.state == MachineHealth.OK
+            it.isSchedulable && snapshot.machineStatuses[it.name]?.health == MachineHealth.OK
         }
         if (schedulable.isEmpty()) {
             val drained = allowed.count { it.cordon != null }
--- a/src/main/kotlin/flaxfield/peers/PeerGateway.kt
+++ b/src/main/kotlin/flaxfield/peers/PeerGateway.kt
@@ -93,7 +93,7 @@
         /** The limit on pending forwards, as a share of the capacity of the command queue. */
         const val PENDING_SHARE = 0.25
 
-        /** Less than the 4 s that workers wait for a response, to leave time for the way back and for a long batch. */
+        /** Less than the 4 s that workers wait for a response, to leave time for its delivery and for a long batch. */
         const val FORWARD_TIMEOUT_MS = 1_500L
 
         /** The interval of heartbeats to peers, in heartbeat intervals of workers. */
--- a/src/main/kotlin/flaxfield/settings/Settings.kt
+++ b/src/main/kotlin/flaxfield/settings/Settings.kt
@@ -23,7 +23,7 @@
  *
  * @property heartbeatIntervalS the interval between two heartbeats of a worker
  * @property leaseS how long a worker may run tasks after it has sent a heartbeat that renews its lease
- * @property cancelS how long a task may run on after the cancellation of its job was confirmed
+ * @property cancelS how long a task may keep running after the cancellation of its job was confirmed
  */
 data class WorkerTimes(
     val heartbeatIntervalS: Double,
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -75,7 +75,7 @@
     fun version(key: String): ULong = records.versions[key] ?: 0uL
 
     /** Returns all tasks that are recorded on [machineName]. */
-    fun on(machineName: String): List<PlacedTask> = records.placements.placedTasksOn(machineName, jobs)
+    fun placedTasksOn(machineName: String): List<PlacedTask> = records.placements.placedTasksOn(machineName, jobs)
 
     /** Whether no task is recorded on [machineName]. */
     fun isEmpty(machineName: String): Boolean = records.placements.isEmpty(machineName)
--- a/src/main/kotlin/flaxfield/store/RateShare.kt
+++ b/src/main/kotlin/flaxfield/store/RateShare.kt
@@ -3,7 +3,7 @@
 /** The shares of the store's request and write limits that one controller may use. */
 data class RateShare(val requests: Double, val writes: Double) {
     companion object {
-        /** The share of each controller that is no member: it only updates its view and renews its lease. */
+        /** The share of each controller that is not a member: it only updates its view and renews its lease. */
         private const val NON_MEMBER_SHARE = 0.08
 
         /**
--- a/src/main/kotlin/flaxfield/store/StoreBudget.kt
+++ b/src/main/kotlin/flaxfield/store/StoreBudget.kt
@@ -53,8 +53,8 @@
         return when {
             !requests.allows(1, cause.reserve) -> null
             changes == 0 -> writes
-            // Each kind of write may also use the other kind's bucket: maintenance whatever its reserve leaves, and
-            // other writes the surplus of the maintenance bucket.
+            // Each kind of write may also use the other kind's bucket: maintenance writes may use the tokens above
+            // their reserve, and other writes the surplus of the maintenance bucket.
             cause.isMaintenance && maintenance.tokens >= minOf(changes, MAX_OVERDRAFT_CHANGES) -> maintenance
             writes.allows(payableChanges(cause, changes), cause.reserve) -> writes
             !cause.isMaintenance &&
--- a/src/main/kotlin/flaxfield/store/TransactionSize.kt
+++ b/src/main/kotlin/flaxfield/store/TransactionSize.kt
@@ -33,7 +33,7 @@
     private const val ESCAPED_BYTES = 6
 
     /** Returns the limit that [transaction] exceeds, with the measured size; null if it is within all limits. */
-    fun fault(transaction: Transaction, limits: StateLimits): String? {
+    fun violation(transaction: Transaction, limits: StateLimits): String? {
         var total = transaction.conditions.keys.sumOf { it.length + OVERHEAD_BYTES }
         for (change in transaction.changes) {
             val valueBytes = if (change is Change.Put) jsonBytes(change.value) else 0
--- a/src/main/kotlin/flaxfield/store/ViewFreshness.kt
+++ b/src/main/kotlin/flaxfield/store/ViewFreshness.kt
@@ -3,8 +3,8 @@
 /**
  * Bounds the age of the view. The age counts from [asOfNs], when the latest read whose revision the view has reached
  * was sent. The view therefore contains everything that was committed, or acknowledged to users, before that time.
- * Other responses of the store prove only that it is reachable: the lease of this process, for one, is renewed even
- * while the view does not advance. Used only by the owner thread.
+ * Other responses of the store prove only that it is reachable. For example, the lease of this process is renewed
+ * even while the view does not advance. Used only by the owner thread.
  */
 class ViewFreshness {
     private class RevisionRead(val sentNs: Long, val revision: ULong)
@@ -19,14 +19,14 @@
     var asOfNs: Long? = null
         private set
 
-    /** Records a read that was sent at [sentNs] and returned [revision]; it counts once the view has [reached] that. */
-    fun read(sentNs: Long, revision: ULong) {
+    /** Records a read that was sent at [sentNs] and returned [revision]; it counts once the view has reached it. */
+    fun recordRead(sentNs: Long, revision: ULong) {
         // While the view does not advance, further reads are of no use: the view reaches the oldest revisions first.
         if (pendingReads.size < MAX_PENDING_READS) pendingReads += RevisionRead(sentNs, revision)
     }
 
     /** Records that the view contains all changes up to [revision]. */
-    fun reached(revision: ULong) {
+    fun onViewReached(revision: ULong) {
         val done = pendingReads.filter { it.revision <= revision }
         if (done.isEmpty()) return
         pendingReads.removeAll(done.toSet())
@@ -40,7 +40,7 @@
     }
 
     /** Whether the age of the view at [nowNs] is guaranteed to be at most [boundNs]. */
-    fun within(boundNs: Long, nowNs: Long): Boolean = asOfNs?.let { nowNs - it <= boundNs } ?: false
+    fun isWithin(boundNs: Long, nowNs: Long): Boolean = asOfNs?.let { nowNs - it <= boundNs } ?: false
 
     private companion object {
         const val MAX_PENDING_READS = 32
--- a/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
+++ b/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sends workers what cannot wait for their next heartbeat: halts, and the term if their heartbeats are overdue. Also
- * records which tasks must stop. Confined to the owner thread.
+ * Sends halts to workers without waiting for their next heartbeat, and the term to workers whose heartbeats are
+ * overdue. Also records which tasks must stop. Confined to the owner thread.
  */
 class HaltDispatcher(
     private val context: ControllerContext,
@@ -25,7 +25,7 @@
      * gang whose tasks are all on this machine keeps running until the termination.
      */
     fun stopForTerminationNotice(heartbeat: Heartbeat, term: ULong) {
-        for (tasks in context.view.on(heartbeat.machineName).groupBy { it.job.id }.values) {
+        for (tasks in context.view.placedTasksOn(heartbeat.machineName).groupBy { it.job.id }.values) {
             val job = tasks.first().job
             val isWholeGang = job.isGang && job.spec.taskCount > 1 && tasks.size == job.spec.taskCount
             if (job.spec.checkpointIntervalS <= 0.0 || isWholeGang) continue
@@ -50,9 +50,9 @@
     /**
      * Sends halts for tasks that must end, without waiting for the next heartbeat.
      *
-     * Tasks of cancelled jobs are halted even if this process's lease has expired or the machine has not sent it a
-     * heartbeat yet: the records and the last known status of the machine suffice. Such a halt is valid under any term,
-     * and a worker that knows a newer term ignores it.
+     * Tasks of cancelled jobs are halted even if this process's lease has expired. They are also halted if the machine
+     * has not sent it a heartbeat yet: the records and the last known status of the machine suffice. Such a halt
+     * is valid under any term, and a worker that knows a newer term ignores it.
      */
     fun haltNow() {
         val term = context.view.assignment?.term ?: return
@@ -76,7 +76,7 @@
         val workerState = workerHealth.workerState(machineName)
         if (context.nowNs - workerState.haltSentNs < heartbeatIntervalNs) return
         val halts = HeartbeatReconciler.directHalts(
-            context.view.on(machineName),
+            context.view.placedTasksOn(machineName),
             workerState.heartbeat,
             isHeartbeatOverdue(workerState),
             mayAct,
@@ -122,8 +122,8 @@
     private class WorkerEndpoint(val address: String, val incarnation: ULong)
 
     /**
-     * Returns the endpoint from the worker's latest heartbeat, or from the status that an earlier owner stored if that
-     * one is newer: the first heartbeat received here may be a delayed duplicate.
+     * Returns the endpoint from the worker's latest heartbeat or from the status that an earlier owner stored,
+     * whichever is newer. The first heartbeat received here may be a delayed duplicate.
      */
     private fun endpointOf(workerState: WorkerState): WorkerEndpoint? {
         val heartbeat = workerState.heartbeat
--- a/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
@@ -23,7 +23,7 @@
     private val misrouted = MisroutedHeartbeatHandler(context, peers, workerHealth, responses)
 
     /** Handles a heartbeat that a worker sent to this controller; responds with 400 if it is malformed. */
-    fun heartbeat(body: ByteArray, responder: Responder) {
+    fun handle(body: ByteArray, responder: Responder) {
         val heartbeat = try {
             HeartbeatCodec.decode(body)
         } catch (e: MalformedException) {
@@ -45,7 +45,7 @@
      * Handles a heartbeat that a peer forwarded on behalf of a worker. It is never redirected again: without a term, or
      * if this controller does not own the machine, it gets no response and the peer's request times out.
      */
-    fun forwardedHeartbeat(body: ByteArray, responder: Responder) {
+    fun handleForwarded(body: ByteArray, responder: Responder) {
         val heartbeat = try {
             HeartbeatCodec.decode(body)
         } catch (ignored: MalformedException) {
@@ -60,10 +60,10 @@
     /**
      * Responds while this process is not a member, or while its view is behind the worker's fencing token.
      *
-     * While the state service does not respond, this process cannot tell an outage from a loss of its own access. It
-     * therefore renews the lease under the worker's own token, as long as [LeaseRenewalPolicy] allows. It does the same
-     * while there is no leader: after a restart of all controllers there is no owner to redirect the worker to, and the
-     * lease must outlast the election.
+     * While the state service does not respond, this process cannot distinguish an outage from a loss of its own
+     * access. It therefore renews the lease under the worker's own token, as long as [LeaseRenewalPolicy] allows. It
+     * does the same while there is no leader. After a restart of all controllers there is no owner to redirect the
+     * worker to, and the lease must outlast the election.
      */
     private fun respondWithoutTerm(heartbeat: Heartbeat, responder: Responder) {
         val viewIsBehind = context.view.assignment?.let { heartbeat.fencingToken > it.term } ?: false
--- a/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
@@ -132,7 +132,7 @@
     private fun lossOfAbsentTask(record: PlacedTask, heartbeat: Heartbeat, term: ULong): TaskEvent.Lost? {
         val placed = record.placed
         return when {
-            // A worker kills and forgets all of its tasks when it starts a new incarnation.
+            // A worker kills all of its tasks and discards their status when it starts a new incarnation.
             heartbeat.incarnation > placed.incarnation ->
                 lost(record, heartbeat, "tenure ${heartbeat.incarnation}", outcomeUnknown = true)
             heartbeat.incarnation < placed.incarnation || !mustEnd(record) -> null
--- a/src/main/kotlin/flaxfield/workers/HeartbeatResponder.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatResponder.kt
@@ -20,10 +20,10 @@
     private var cachedBody = Body.EMPTY
 
     /** Whether the view is recent enough to renew a lease. */
-    fun mayRenew(): Boolean = context.viewFreshness.within(renewalPolicy.maxViewAgeNs, context.nowNs)
+    fun mayRenew(): Boolean = context.viewFreshness.isWithin(renewalPolicy.maxViewAgeNs, context.nowNs)
 
     /** Whether the view lags no more than in normal operation, which task launches require. */
-    fun viewIsFresh(): Boolean = context.viewFreshness.within(renewalPolicy.freshViewAgeNs, context.nowNs)
+    fun viewIsFresh(): Boolean = context.viewFreshness.isWithin(renewalPolicy.freshViewAgeNs, context.nowNs)
 
     /**
      * Renews the lease without making scheduling decisions. Tasks of cancelled jobs are still halted: a cancellation in
@@ -33,7 +33,7 @@
         heartbeat,
         workerHealth.workerState(heartbeat.machineName),
         fencingToken,
-        HeartbeatReconciler.cancellationHalts(heartbeat, context.view.on(heartbeat.machineName)),
+        HeartbeatReconciler.cancellationHalts(heartbeat, context.view.placedTasksOn(heartbeat.machineName)),
         responder,
     )
 
--- a/src/main/kotlin/flaxfield/workers/OwnedHeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/OwnedHeartbeatHandler.kt
@@ -32,7 +32,7 @@
             return responses.renewWithoutDecision(heartbeat, term, responder)
         }
         record(heartbeat, workerState, term)
-        if (startsIncarnationOrNotice(previous, heartbeat)) onWorkerChange(heartbeat, term)
+        if (isIncarnationOrNoticeChanged(previous, heartbeat)) onWorkerChange(heartbeat, term)
         val machine = context.view.machines[heartbeat.machineName]
         if (machine == null) {
             // A delayed duplicate may come from a terminated machine: adopt only a worker that knows the current term.
@@ -56,7 +56,7 @@
         if (heartbeat.fencingToken == term) workerHealth.recordLiveness(workerState, heartbeat.zone)
     }
 
-    private fun startsIncarnationOrNotice(previous: Heartbeat?, current: Heartbeat): Boolean = previous == null ||
+    private fun isIncarnationOrNoticeChanged(previous: Heartbeat?, current: Heartbeat): Boolean = previous == null ||
         previous.incarnation != current.incarnation ||
         previous.terminationNoticeS == null != (current.terminationNoticeS == null)
 
@@ -77,7 +77,7 @@
         machine: Machine,
         term: ULong,
     ): List<WorkerCommand> {
-        val records = context.view.on(heartbeat.machineName)
+        val records = context.view.placedTasksOn(heartbeat.machineName)
         // Launches need a fresh view: a task must not start if another controller has just committed its cancellation.
         val mayLaunch = machine.phase != MachinePhase.RETIRING && responses.viewIsFresh()
         val result = HeartbeatReconciler.decide(heartbeat, records, term, mayLaunch)
--- a/src/main/kotlin/flaxfield/workers/WorkerCommand.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerCommand.kt
@@ -17,6 +17,6 @@
         val gracePeriodS: Double,
     ) : WorkerCommand
 
-    /** Makes the worker forget the attempt, whose end has been committed. */
+    /** Makes the worker discard the status of the attempt, whose end has been committed. */
     data class Clear(override val job: String, override val index: Int, override val attempt: ULong) : WorkerCommand
 }
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -92,14 +92,14 @@
     }
 
     /** Returns the current health of a machine in this controller's shard. */
-    fun state(machineName: String): MachineHealth {
+    fun health(machineName: String): MachineHealth {
         val workerState = workerStates[machineName]
         val heartbeat = workerState?.heartbeat
         return when {
             workerState?.faultReason != null -> MachineHealth.FAULTY
             heartbeat == null || workerState.lastHeartbeatNs == 0L || workerState.lastHeartbeatNs < ownerSinceNs ->
                 healthWithoutHeartbeat(machineName, workerState)
-            isSilent(machineName, workerState.lastHeartbeatNs) -> MachineHealth.SILENT
+            haveHeartbeatsTimedOut(machineName, workerState.lastHeartbeatNs) -> MachineHealth.SILENT
             heartbeat.terminationNoticeS != null -> MachineHealth.NOTICE
             else -> when (faults.evaluateFailures(workerState)) {
                 FaultVerdict.FAULTY -> MachineHealth.FAULTY
@@ -112,8 +112,8 @@
     private fun healthWithoutHeartbeat(machineName: String, workerState: WorkerState?): MachineHealth {
         // A machine that has just booted has sent heartbeats, but none under the current term yet.
         val sinceNs = maxOf(ownerSinceNs, workerState?.firstHeartbeatNs ?: 0L)
-        val silent = isSilent(machineName, sinceNs) && isExpectedToReport(machineName)
-        return if (silent) MachineHealth.SILENT else MachineHealth.UNSEEN
+        val isUnreachable = haveHeartbeatsTimedOut(machineName, sinceNs) && isExpectedToReport(machineName)
+        return if (isUnreachable) MachineHealth.SILENT else MachineHealth.UNSEEN
     }
 
     /**
@@ -124,18 +124,18 @@
         !context.view.isEmpty(machineName) ||
         context.view.lastKnownStatus(machineName)?.let { it.incarnation > 0uL } ?: false
 
-    private fun isSilent(machineName: String, sinceNs: Long): Boolean {
+    private fun haveHeartbeatsTimedOut(machineName: String, sinceNs: Long): Boolean {
         val leaseNs = context.settings.workers.leaseS * NANOS_PER_SECOND
-        val silenceNs = context.nowNs - sinceNs
-        if (silenceNs < leaseNs * SILENT_AFTER_LEASES) return false
+        val sinceHeartbeatNs = context.nowNs - sinceNs
+        if (sinceHeartbeatNs < leaseNs * HEARTBEAT_TIMEOUT_LEASES) return false
         val zone = zoneOf(machineName)
-        if (context.zones?.isLost(zone) == true) return silenceNs > leaseNs
+        if (context.zones?.isLost(zone) == true) return sinceHeartbeatNs > leaseNs
         // If no machine of the zone sends heartbeats, this controller is more likely partitioned from the zone. But the
         // last machines of a shard may fail together, and their tasks must not wait forever.
         val heartbeatIntervalS = context.settings.workers.heartbeatIntervalS
         val zoneReports = context.nowNs - (ownedHeartbeatNs[zone] ?: 0L) <
             heartbeatIntervalS * ZONE_REPORT_INTERVALS * NANOS_PER_SECOND
-        return zoneReports || silenceNs > leaseNs * SILENT_ZONE_AFTER_LEASES
+        return zoneReports || sinceHeartbeatNs > leaseNs * ZONE_HEARTBEAT_TIMEOUT_LEASES
     }
 
     private fun zoneOf(machineName: String): String =
@@ -186,11 +186,11 @@
     }
 
     private companion object {
-        /** A machine without heartbeats for this many leases counts as silent and is returned. */
-        const val SILENT_AFTER_LEASES = 0.75
+        /** A machine without heartbeats for this many leases is considered unreachable and is returned. */
+        const val HEARTBEAT_TIMEOUT_LEASES = 0.75
 
-        /** The same limit if no machine of the zone sends heartbeats; most network partitions end sooner. */
-        const val SILENT_ZONE_AFTER_LEASES = 3.0
+        /** The same timeout if no machine of the zone sends heartbeats; most network partitions end sooner. */
+        const val ZONE_HEARTBEAT_TIMEOUT_LEASES = 3.0
 
         /** A zone counts as reporting if one of its machines sent a heartbeat within this many intervals. */
         const val ZONE_REPORT_INTERVALS = 2.0
--- a/src/main/kotlin/flaxfield/zones/OpenMachines.kt
+++ b/src/main/kotlin/flaxfield/zones/OpenMachines.kt
@@ -28,7 +28,7 @@
     private fun select(record: ZoneRecord): Set<String> {
         val limit = ReturnRamp.limit(record) ?: Int.MAX_VALUE
         return view.machines.values
-            .filter { it.zone == record.zone && it.isSchedulable && view.machineStatus(it.name)?.state !in UNHEALTHY }
+            .filter { it.zone == record.zone && it.isSchedulable && view.machineStatus(it.name)?.health !in UNHEALTHY }
             .map { it.name }
             .sorted()
             .take(limit)
--- a/src/main/kotlin/flaxfield/zones/TeamShareCalculator.kt
+++ b/src/main/kotlin/flaxfield/zones/TeamShareCalculator.kt
@@ -18,7 +18,7 @@
     private val reachableMachines = snapshot.machines.values.filter { machine ->
         machine.isSchedulable &&
             snapshot.zones[machine.zone]?.isClosed != true &&
-            snapshot.machineStatuses[machine.name]?.state == MachineHealth.OK
+            snapshot.machineStatuses[machine.name]?.health == MachineHealth.OK
     }.associateBy { it.name }
 
     /** Returns the shares of all teams that have unfinished jobs, sorted by team name. */
--- a/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneReconciler.kt
@@ -27,7 +27,7 @@
         if (context.nowNs < nextRunNs || !context.leadership.isLeader()) return
         nextRunNs = context.nowNs + intervalNs
         // A stale view has no new evidence.
-        if (!context.viewFreshness.within(maxViewAgeNs, context.nowNs)) return
+        if (!context.viewFreshness.isWithin(maxViewAgeNs, context.nowNs)) return
         val view = context.view
         val members = view.assignment?.members.orEmpty().map { it.name }
         val evidence = ZoneEvidence.of(members, view.zoneCoverage()) ?: return
--- a/src/test/kotlin/flaxfield/controller/BacklogDeferralTest.kt
+++ b/src/test/kotlin/flaxfield/controller/BacklogDeferralTest.kt
@@ -18,7 +18,7 @@
             Step(119, waiting = 10 * backlog, runs = false),
             Step(120, waiting = backlog, runs = true),
             Step(130, waiting = backlog, runs = false),
-            // The backlog is gone: the duty runs at once, and the delay starts again at the next due time.
+            // The queue is empty again: the duty runs at once, and the delay starts again at the next due time.
             Step(140, waiting = 0, runs = true),
             Step(235, waiting = backlog, runs = false),
             Step(334, waiting = backlog, runs = false),
--- a/src/test/kotlin/flaxfield/gangs/LargeGangReservationTest.kt
+++ b/src/test/kotlin/flaxfield/gangs/LargeGangReservationTest.kt
@@ -8,8 +8,8 @@
 
 class LargeGangReservationTest {
     @Test
-    fun `machines are reserved for the largest gang that has waited long, in the zone that fits most of its tasks`() {
-        // Without a reservation smaller gangs take each machine that becomes free, and the largest gang starves.
+    fun `machines are reserved for the largest overdue gang, in the zone that fits most of its tasks`() {
+        // Without a reservation, smaller gangs take each machine that becomes free, and the largest gang starves.
         fun waitingGang(id: String, taskCount: Int, submittedMs: Long) =
             gang(taskCount, sameZone = true).let { it.copy(spec = it.spec.copy(id = id), submittedMs = submittedMs) }
         val waiting = listOf(
--- a/src/test/kotlin/flaxfield/golden/HeartbeatResponses.kt
+++ b/src/test/kotlin/flaxfield/golden/HeartbeatResponses.kt
@@ -41,7 +41,7 @@
         )
         val text = StringBuilder()
         for (body in bodies) {
-            handler.heartbeat(body) { status, response, retryAfterS ->
+            handler.handle(body) { status, response, retryAfterS ->
                 text.append("status=$status type=${response.type} retry_after_s=$retryAfterS\n").append(HexText.of(response.bytes))
             }
         }
--- a/src/test/kotlin/flaxfield/golden/SampleController.kt
+++ b/src/test/kotlin/flaxfield/golden/SampleController.kt
@@ -41,8 +41,8 @@
     fun assign() {
         put(StoreKeys.ASSIGNMENT, MemberCodec.encode(StoredSamples.member, StoredSamples.assignment.members))
         context.storeContact.noteResponse()
-        context.viewFreshness.read(clock.monotonicNs(), 1uL)
-        context.viewFreshness.reached(1uL)
+        context.viewFreshness.recordRead(clock.monotonicNs(), 1uL)
+        context.viewFreshness.onViewReached(1uL)
     }
 
     companion object {
--- a/src/test/kotlin/flaxfield/jobs/JobTransactionsTest.kt
+++ b/src/test/kotlin/flaxfield/jobs/JobTransactionsTest.kt
@@ -30,7 +30,7 @@
                         if (number in changed) chunk.copy(nextAttempt = chunk.nextAttempt + 1) else chunk
                     },
                 )
-                assertNull(TransactionSize.fault(JobTransactions.update(old, next, 1uL), limits), "$valueKb KiB")
+                assertNull(TransactionSize.violation(JobTransactions.update(old, next, 1uL), limits), "$valueKb KiB")
                 assertTrue(TransactionSize.jsonBytes(JobCodec.encodeChunk(old.chunk(size * 39))) < valueKb * 1024)
             }
         }
--- a/src/test/kotlin/flaxfield/store/ClusterViewTest.kt
+++ b/src/test/kotlin/flaxfield/store/ClusterViewTest.kt
@@ -52,9 +52,9 @@
             val view = replica.view
             items.forEach(replica::apply)
             assertEquals(3, view.jobs["job-1"]?.placedCount)
-            assertEquals(listOf(0, 9), view.on("h").map { it.placed.index }.sorted())
+            assertEquals(listOf(0, 9), view.placedTasksOn("h").map { it.placed.index }.sorted())
             replica.apply(KeyUpdate(StoreKeys.JOB + "job-1", null, 4uL))
-            assertEquals(emptyList<PlacedTask>(), view.on("h"))
+            assertEquals(emptyList<PlacedTask>(), view.placedTasksOn("h"))
             assertEquals(setOf("job-1/1", "job-1/2"), view.orphanedChunks.keys)
             replica.apply(KeyUpdate(StoreKeys.chunk("job-1", 1), null, 5uL))
             assertEquals(setOf("job-1/2"), view.orphanedChunks.keys)
@@ -134,14 +134,14 @@
         replica.apply(KeyUpdate(StoreKeys.ASSIGNMENT, stored(MemberCodec.encode(a, listOf(a))), 7uL))
         replica.apply(page(StoreKeys.shardSummary("a", 0), 7, 8, "h" to MachineHealth.OK, "g" to MachineHealth.OK))
         replica.apply(page(StoreKeys.shardSummary("b", 0), 6, 9, "h" to MachineHealth.SILENT))
-        assertEquals(MachineHealth.OK, view.machineStatus("h")?.state, "a page of an older term arrives late")
+        assertEquals(MachineHealth.OK, view.machineStatus("h")?.health, "a page of an older term arrives late")
         // The page is split: the machine appears in the new page before the old page is written without it.
         replica.apply(page(StoreKeys.shardSummary("a", 1), 7, 10, "g" to MachineHealth.NOTICE))
         replica.apply(page(StoreKeys.shardSummary("a", 0), 7, 11, "h" to MachineHealth.OK))
-        assertEquals(MachineHealth.NOTICE, view.machineStatus("g")?.state)
+        assertEquals(MachineHealth.NOTICE, view.machineStatus("g")?.health)
         replica.apply(KeyUpdate(StoreKeys.ASSIGNMENT, stored(MemberCodec.encode(a, listOf(a))), 12uL))
         assertEquals(null, view.machineStatus("h"))
-        assertEquals(MachineHealth.OK, view.lastKnownStatus("h")?.state)
+        assertEquals(MachineHealth.OK, view.lastKnownStatus("h")?.health)
     }
 
     @Test
--- a/src/test/kotlin/flaxfield/store/TransactionSizeTest.kt
+++ b/src/test/kotlin/flaxfield/store/TransactionSizeTest.kt
@@ -23,18 +23,21 @@
         for ((txn, fits) in table) {
             assertEquals(
                 fits,
-                TransactionSize.fault(txn, limits) == null,
-                TransactionSize.fault(txn, limits),
+                TransactionSize.violation(txn, limits) == null,
+                TransactionSize.violation(txn, limits),
             )
         }
         val wide = StateLimits(100.0, 20.0, 32.0, 24)
         assertEquals(
             true,
-            TransactionSize.fault(Transaction(emptyMap(), listOf(put("a", 32_000), put("b", 32_000))), wide) == null,
+            TransactionSize.violation(
+                Transaction(emptyMap(), listOf(put("a", 32_000), put("b", 32_000))),
+                wide,
+            ) == null,
         )
         assertEquals(
             false,
-            TransactionSize.fault(Transaction(emptyMap(), List(3) { put("a$it", 30_000) }), wide) == null,
+            TransactionSize.violation(Transaction(emptyMap(), List(3) { put("a$it", 30_000) }), wide) == null,
         )
     }
 
--- a/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/flaxfield/workers/HeartbeatHandlerTest.kt
@@ -58,8 +58,8 @@
 
     private fun loadView() {
         context.storeContact.noteResponse()
-        context.viewFreshness.read(clock.monotonicNs(), 1uL)
-        context.viewFreshness.reached(1uL)
+        context.viewFreshness.recordRead(clock.monotonicNs(), 1uL)
+        context.viewFreshness.onViewReached(1uL)
     }
 
     /**
@@ -72,7 +72,7 @@
             "tenure" to 1, "tally" to 1, "epoch" to fencingToken, "shards" to emptyList<Any>(),
         )
         var result = "none"
-        handler.heartbeat(Cbor.encode(body)) { status, responseBody, _ ->
+        handler.handle(Cbor.encode(body)) { status, responseBody, _ ->
             val message = if (responseBody.bytes.isEmpty()) null else Cbor.decode(responseBody.bytes)
             result = listOfNotNull(status, message?.unsigned("epoch"), message?.text("steward")).joinToString(" ")
         }
--- a/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
+++ b/src/test/kotlin/flaxfield/workers/WorkerHealthTest.kt
@@ -53,7 +53,7 @@
         workerHealth.recordLiveness(workerState, "a")
     }
 
-    private fun healthStates() = listOf("h1", "h2").map { workerHealth.state(it) }
+    private fun healthStates() = listOf("h1", "h2").map { workerHealth.health(it) }
 
     init {
         put(StoreKeys.ASSIGNMENT, MemberCodec.encode(self, listOf(self)), 3uL)
@@ -64,9 +64,9 @@
     }
 
     @Test
-    fun `a pause of this process does not make workers silent`() {
+    fun `a pause of this process does not make machines unreachable`() {
         // A paused process receives no heartbeats: the first one after the pause must not make all other machines
-        // silent.
+        // unreachable.
         nowS += 5.0
         heartbeat("h1")
         assertEquals(listOf(MachineHealth.OK, MachineHealth.SILENT), healthStates())
