--- a/src/test/kotlin/flaxfield/digest/BehaviourDigest.kt
+++ b/src/test/kotlin/flaxfield/digest/BehaviourDigest.kt
@@ -46,7 +46,7 @@
  * Usage, with Maven offline:
  *
  *     tools/behaviour-digest.sh OUT [SUITE|all] [THREADS] [TRACES]
- *     diff src/test/resources/digest/44a1062.txt OUT
+ *     tools/digest-compare.sh src/test/resources/digest/44a1062.txt OUT
  *
  * `SUITE` is the simple name of a suite. If the directory `TRACES` is given, the messages of each row are written there
  * as text, in one file of about 10 MB per row. A diff of two such files shows the first message that differs. CI does
