--- a/src/test/kotlin/flaxfield/training/LoopbackWorld.kt
+++ b/src/test/kotlin/flaxfield/training/LoopbackWorld.kt
@@ -152,8 +152,39 @@
     /** A user's other requests, whatever they are answered. */
     fun request(node: LoopbackNode, method: String, path: String) = ask(node.name, method, path, null) { }
 
+    /** A user reads job [id] at [node]; the checker gets the answer, if there is one. */
+    fun readJob(node: LoopbackNode, id: String) {
+        val before = invariants.reportedPhase(id)
+        ask(node.name, "GET", "/work/$id", null) { answer -> checkAnswer(id, answer, before) }
+    }
+
+    /** A user cancels job [id] at [node], again each second until it is answered. */
+    fun cancelJob(node: LoopbackNode, id: String) {
+        invariants.cancelRequested(id)
+        val before = invariants.reportedPhase(id)
+        ask(node.name, "POST", "/work/$id/cancel", null) { answer ->
+            checkAnswer(id, answer, before)
+            if (answer?.status != OK) loop.after(SimLoop.SECOND) { cancelJob(node, id) }
+        }
+    }
+
+    private fun checkAnswer(id: String, answer: Response?, before: String?) {
+        if (answer?.status == NOT_FOUND) invariants.jobAnswered(id, null, loop.nowS, before)
+        if (answer?.status == OK) {
+            invariants.jobAnswered(id, Cbor.decode(answer.body).requireText("phase"), loop.nowS, before)
+        }
+    }
+
+    /** The last phase that the user of job [id] was answered. */
+    fun reportedPhase(id: String): String? = server.ask { invariants.reportedPhase(id) }
+
+    /** The values of all records whose keys begin with [prefix], by key. */
+    fun records(prefix: String): Map<String, Any?> = server.ask { state.values(prefix) }
+
     companion object {
         private const val TIMEOUT_MS = 4_000L
+        private const val OK = 200
+        private const val NOT_FOUND = 404
         private const val SETTINGS_RESOURCE = "/training/settings.json"
 
         /** A file with [text], gone with this process. */
--- /dev/null
+++ b/src/test/kotlin/flaxfield/upgrade/ControllerProcesses.kt
@@ -0,0 +1,92 @@
+package flaxfield.upgrade
+
+import flaxfield.training.LoopbackNode
+import flaxfield.training.LoopbackWorld
+import java.io.File
+import java.util.concurrent.TimeUnit
+
+/** The jars of one build: `flaxfield.jar` with `flaxfield-operator.jar` beside it in [directory]. */
+class Build(val name: String, private val directory: File) {
+    val jar = File(directory, "flaxfield.jar")
+    val classPath = "$jar${File.pathSeparator}${File(directory, "flaxfield-operator.jar")}"
+
+    init {
+        require(jar.isFile) { "$jar does not exist" }
+    }
+}
+
+/** Starts and kills controller processes of different builds, each with the settings files of its node. */
+class ControllerProcesses(private val world: LoopbackWorld, val nodes: List<LoopbackNode>, private val logDirectory: File) {
+    private class Running(val process: Process, val build: Build)
+
+    private val settings = nodes.associateWith { world.settingsFile(it) }
+    private val fleetFiles = nodes.associateWith { LoopbackWorld.temporaryFile(fleetFile(it)) }
+    private val running = HashMap<LoopbackNode, Running>()
+
+    init {
+        logDirectory.mkdirs()
+        logDirectory.listFiles { file -> file.extension == "log" }?.forEach { it.delete() }
+    }
+
+    private fun fleetFile(node: LoopbackNode) =
+        """{"version": 1, "listen": "127.0.0.1:${node.operatorPort}", "default_budget": {"percent": 50},
+           "classes": {"class": "any"}}"""
+
+    fun start(node: LoopbackNode, build: Build) {
+        val command = listOf(
+            "java", "-Xmx84m", "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-jar", build.jar.path,
+            "serve", "--config", settings.getValue(node).path, "--fleet", fleetFiles.getValue(node).path,
+        )
+        val process = ProcessBuilder(command)
+            .redirectError(ProcessBuilder.Redirect.appendTo(logFile(node, build)))
+            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+            .start()
+        running[node] = Running(process, build)
+        println("${node.name}: ${build.name} build started")
+    }
+
+    private fun logFile(node: LoopbackNode, build: Build) = File(logDirectory, "${node.name}-${build.name}.log")
+
+    /** Kills the process of [node] without a clean stop, as a crash does. */
+    fun kill(node: LoopbackNode) {
+        val process = running.remove(node)?.process ?: return
+        process.destroyForcibly().waitFor(KILL_TIMEOUT_S, TimeUnit.SECONDS)
+        println("${node.name}: killed")
+    }
+
+    fun killAll() = nodes.forEach(::kill)
+
+    /** The nodes whose process has ended by itself. */
+    fun ended(): List<String> = running.filterValues { !it.process.isAlive }
+        .map { (node, controller) -> "${node.name} (${controller.build.name} build) has ended" }
+
+    /** Log lines of all processes that report a record that can't be read, or a defect. */
+    fun faultLines(): List<String> = logDirectory.listFiles { file -> file.extension == "log" }.orEmpty().sorted()
+        .flatMap { file -> file.readLines().filter { line -> FAULT_EVENTS.any { it in line } }.map { "${file.name}: $it" } }
+
+    /** Runs an operators' command with the client of [build] against [node], and returns its exit status. */
+    fun runClient(build: Build, node: LoopbackNode, vararg words: String): Int {
+        val command = listOf("java", "-XX:TieredStopAtLevel=1", "-cp", build.classPath, "flaxfield.cli.MainKt") +
+            words + listOf("--endpoint", "127.0.0.1:${node.operatorPort}")
+        val process = ProcessBuilder(command).redirectErrorStream(true).start()
+        val output = process.inputStream.bufferedReader().readText()
+        val status = process.waitFor()
+        println("${build.name} client at ${node.name}: ${words.joinToString(" ")}: exit status $status")
+        if (status != 0) println(output.trim().prependIndent("    "))
+        return status
+    }
+
+    private companion object {
+        const val KILL_TIMEOUT_S = 5L
+
+        /** Events of log lines that no run without a defect has. */
+        val FAULT_EVENTS = listOf(
+            "event=record_unreadable",
+            "event=job_record_unreadable",
+            "event=internal_fault",
+            "event=transaction_rejected",
+            "event=call_failed",
+            "flaxfield: ended by",
+        )
+    }
+}
