--- a/src/main/kotlin/flaxfield/fleet/BinPacker.kt
+++ b/src/main/kotlin/flaxfield/fleet/BinPacker.kt
@@ -3,7 +3,7 @@
 import flaxfield.arrays.TopologyConstraint
 import flaxfield.jobs.Resources
 
-/** Available resources of one machine that exists ([machineName] is set) or has been requested. */
+/** The free resources of a machine that exists ([machineName] is set) or has been requested. */
 class Bin(
     val machineName: String?,
     val machineType: String,
@@ -12,30 +12,30 @@
     var free: Resources,
 )
 
-/** The result of bin packing: the machines to rent by offer, and the existing machines that the demand would use. */
+/** The result of bin packing: the number of machines to rent per offer, and the existing machines that are used. */
 data class PackingResult(val newMachines: Map<Offer, Int>, val usedMachines: Set<String>)
 
 /**
- * Pure: first-fit bin packing of capacity demands into the machines there are, and into new machines from [offers]
- * where they do not fit. At most [maxNewMachines] are added, which bounds the work for huge arrays.
+ * Packs capacity demands first-fit into existing and requested machines, and adds machines from [offers] for the rest.
+ * At most [maxNewMachines] are added, which bounds the work for huge arrays. Does no I/O.
  */
 class BinPacker(
     private val offers: OfferSelector,
     private val filter: MachineKindFilter,
     private val maxNewMachines: Int,
 ) {
-    /** Packs [demands] in their order into [bins] in their order; the bins' free resources are consumed. */
+    /** Packs [demands] into [bins], both in the given order, and reduces the bins' free resources accordingly. */
     fun pack(demands: List<CapacityDemand>, bins: List<Bin>): PackingResult =
-        Run(bins, smallestRequest(demands)).pack(demands)
+        PackingRun(bins, smallestRequest(demands)).pack(demands)
 
-    /** A lower bound of what one task of any demand takes. */
+    /** Returns a lower bound on the resources that one task of any demand requests. */
     private fun smallestRequest(demands: List<CapacityDemand>) = Resources(
         demands.minOfOrNull { it.spec.taskResources.cpus } ?: 0.0,
         demands.minOfOrNull { it.spec.taskResources.gpus } ?: 0.0,
         demands.minOfOrNull { it.spec.taskResources.memoryGb } ?: 0.0,
     )
 
-    private inner class Run(bins: List<Bin>, private val smallestRequest: Resources) {
+    private inner class PackingRun(bins: List<Bin>, private val smallestRequest: Resources) {
         private val openBins = ArrayList(bins)
         private val usedMachines = HashSet<String>()
         private val newMachines = LinkedHashMap<Offer, Int>()
@@ -44,7 +44,7 @@
         fun pack(demands: List<CapacityDemand>): PackingResult {
             for (demand in demands) {
                 place(demand)
-                // Full bins are removed: each demand would scan all of them again.
+                // Without this, each further demand would scan all full bins again.
                 openBins.removeIf { !it.free.canHold(smallestRequest) }
             }
             return PackingResult(newMachines, usedMachines)
@@ -55,17 +55,17 @@
             val topology = TopologyConstraint(spec, emptyList())
             val requiredZone = if (spec.sameZone && demand.tasks > 1) zoneWithMostCapacity(demand) else null
             var remaining = demand.tasks
-            var next = 0
+            var index = 0
             while (remaining > 0) {
-                next = nextFit(next, demand, topology, requiredZone)
-                if (next >= openBins.size) {
+                index = firstFitFrom(index, demand, topology, requiredZone)
+                if (index >= openBins.size) {
                     openBins += addMachine(demand, remaining, topology) ?: return
                     continue
                 }
-                val bin = openBins[next]
-                // When tasks spread across zones, each one placed may change where the next one is allowed.
-                val atOnce = if (spec.spreadAcrossZones) 1 else remaining
-                val placed = minOf(atOnce, bin.free.countFitting(spec.taskResources))
+                val bin = openBins[index]
+                // With a spread constraint, each placed task may change the zones allowed for the next one.
+                val maxTasks = if (spec.spreadAcrossZones) 1 else remaining
+                val placed = minOf(maxTasks, bin.free.countFitting(spec.taskResources))
                 bin.free -= spec.taskResources * placed
                 bin.machineName?.let(usedMachines::add)
                 topology.add(bin.zone)
@@ -73,8 +73,8 @@
             }
         }
 
-        /** The index of the first open bin from [start] on that can take a task of [demand]; their number if none. */
-        private fun nextFit(
+        /** Returns the index of the first bin from [start] on that fits a task of [demand], or the number of bins. */
+        private fun firstFitFrom(
             start: Int,
             demand: CapacityDemand,
             topology: TopologyConstraint,
@@ -89,7 +89,7 @@
             return index
         }
 
-        /** Plans one more machine for [tasks] tasks of [demand]; null if the limit is reached or no offer suits. */
+        /** Adds a machine for [tasks] tasks of [demand]; null if the limit is reached or no offer is suitable. */
         private fun addMachine(demand: CapacityDemand, tasks: Int, topology: TopologyConstraint): Bin? {
             if (newMachineCount >= maxNewMachines) return null
             val offer = offers.select(demand, tasks, topology, newMachines) ?: return null
@@ -98,7 +98,7 @@
             return Bin(null, offer.machineType, offer.zone, offer.preemptible, offers.machineType(offer).capacity)
         }
 
-        /** The zone whose open bins hold the most tasks of [demand], all of which must share a zone; null if none. */
+        /** Returns the zone whose open bins fit the most tasks of the same-zone [demand]; null if no bin fits one. */
         private fun zoneWithMostCapacity(demand: CapacityDemand): String? {
             val topology = TopologyConstraint(demand.spec, emptyList())
             val tasksByZone = HashMap<String, Int>()
--- a/src/main/kotlin/flaxfield/fleet/BootMonitor.kt
+++ b/src/main/kotlin/flaxfield/fleet/BootMonitor.kt
@@ -3,29 +3,32 @@
 import flaxfield.MILLIS_PER_SECOND
 import flaxfield.store.ClusterView
 
-/** Judges machines that have not come up yet by those of their type that have. Owned by the owner thread. */
+/**
+ * Detects machines whose boot takes too long, by comparison with other machines of their type. Confined to the owner
+ * thread.
+ */
 class BootMonitor(private val view: ClusterView) {
-    /** When the latest rented of the machines that have come up was rented, by machine type. */
-    private val latestUpSinceMs = HashMap<String, Long>()
+    /** The latest rental time among the machines that have reported, by machine type. */
+    private val latestReportedRentalMs = HashMap<String, Long>()
 
-    /** Takes in the machines that have come up in the view; to be called before [status]. */
+    /** Updates the rental times from the view. Must be called before [status]. */
     fun update() {
-        latestUpSinceMs.clear()
+        latestReportedRentalMs.clear()
         for (machine in view.machines.values) {
-            if (hasComeUp(machine)) latestUpSinceMs.merge(machine.machineType, machine.sinceMs, ::maxOf)
+            if (hasReported(machine)) latestReportedRentalMs.merge(machine.machineType, machine.sinceMs, ::maxOf)
         }
     }
 
     /**
-     * The status of a machine that does not report, at [nowMs]. One that has reported to an earlier owner is up, and
-     * only has to find its present owner.
+     * Returns the status at [nowMs] of a machine that has not reported to its current owner. One that has reported to
+     * an earlier owner is up, and only has to find the current one.
      */
     fun status(machine: Machine, machineType: MachineType, nowMs: Long): BootStatus {
-        if (hasComeUp(machine)) return BootStatus.BOOTING
+        if (hasReported(machine)) return BootStatus.BOOTING
         val ageS = (nowMs - machine.sinceMs) / MILLIS_PER_SECOND
-        val laterOnesUp = (latestUpSinceMs[machine.machineType] ?: 0L) >= machine.sinceMs
-        return BootStatus.of(ageS, machineType.bootTimeS, laterOnesUp)
+        val laterRentalsUp = (latestReportedRentalMs[machine.machineType] ?: 0L) >= machine.sinceMs
+        return BootStatus.of(ageS, machineType.bootTimeS, laterRentalsUp)
     }
 
-    private fun hasComeUp(machine: Machine) = (view.lastKnownStatus(machine.name)?.incarnation ?: 0uL) > 0uL
+    private fun hasReported(machine: Machine) = (view.lastKnownStatus(machine.name)?.incarnation ?: 0uL) > 0uL
 }
--- a/src/main/kotlin/flaxfield/fleet/BootStatus.kt
+++ b/src/main/kotlin/flaxfield/fleet/BootStatus.kt
@@ -1,36 +1,38 @@
 package flaxfield.fleet
 
-/** Whether a rented machine that has not reported yet may still be expected to. */
+/** The boot status of a rented machine that has not reported yet. */
 enum class BootStatus {
+    /** Within the usual boot time. */
     BOOTING,
 
-    /** Later than usual: it is replaced in the capacity plan, but not returned yet. */
+    /** Later than usual: the capacity plan replaces the machine, but it is not returned yet. */
     OVERDUE,
 
-    /** It is not expected any more and is returned. */
-    LOST,
+    /** The boot is considered failed, and the machine is returned. */
+    FAILED,
     ;
 
     companion object {
         /**
-         * Pure: the status of a machine [ageS] seconds after its rental. A machine that is slow while [laterOnesUp]
-         * (machines of its type rented after it have come up) is an exception. Otherwise all are slow and a replacement
-         * would be as slow, so that it gets [ALL_SLOW_FACTOR] times as long.
+         * Pure: returns the status of a machine [ageS] seconds after its rental. [laterRentalsUp] tells whether
+         * machines of its type that were rented later are up already, so that only this one is slow. Otherwise the
+         * whole type is taken to be slow. A replacement would be as slow, so the limits are multiplied by
+         * [SLOW_TYPE_FACTOR].
          */
-        fun of(ageS: Double, bootTimeS: Double, laterOnesUp: Boolean): BootStatus {
-            val bootTimes = ageS / bootTimeS / (if (laterOnesUp) 1 else ALL_SLOW_FACTOR)
+        fun of(ageS: Double, bootTimeS: Double, laterRentalsUp: Boolean): BootStatus {
+            val bootTimes = ageS / bootTimeS / (if (laterRentalsUp) 1 else SLOW_TYPE_FACTOR)
             return when {
-                bootTimes > LOST_BOOT_TIMES -> LOST
-                bootTimes > OVERDUE_BOOT_TIMES -> OVERDUE
+                bootTimes > FAILED_AFTER_BOOT_TIMES -> FAILED
+                bootTimes > OVERDUE_AFTER_BOOT_TIMES -> OVERDUE
                 else -> BOOTING
             }
         }
 
         /** PROTOCOL-flaxfield.md: a boot usually takes up to 1.5 times `ready_s`. */
-        private const val OVERDUE_BOOT_TIMES = 1.6
+        private const val OVERDUE_AFTER_BOOT_TIMES = 1.6
 
-        /** PROTOCOL-flaxfield.md: some machines take several times as long; after this many boot times none comes. */
-        private const val LOST_BOOT_TIMES = 3.2
-        private const val ALL_SLOW_FACTOR = 2
+        /** PROTOCOL-flaxfield.md: some boots take several times as long; none succeeds after this many boot times. */
+        private const val FAILED_AFTER_BOOT_TIMES = 3.2
+        private const val SLOW_TYPE_FACTOR = 2
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/CapacityDemand.kt
+++ b/src/main/kotlin/flaxfield/fleet/CapacityDemand.kt
@@ -2,12 +2,12 @@
 
 import flaxfield.jobs.JobSpec
 
-/** Queued work as the capacity planner sees it: [tasks] more tasks like those of [spec]. */
+/** A demand for the capacity to run [tasks] more tasks like those of [spec], which are pending or expected. */
 data class CapacityDemand(
     val spec: JobSpec,
     val tasks: Int,
-    /** It has waited so long that on-demand machines may be rented although spot machines would do. */
+    /** Whether it has waited so long that on-demand machines may be rented although it could use spot machines. */
     val isUrgent: Boolean = false,
-    /** It has waited so long that it may use any existing machine, also one that is reserved for other jobs. */
+    /** Whether it has waited so long that it may use any existing machine, even one reserved for other jobs. */
     val isStarved: Boolean = false,
 )
--- a/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/CapacityPlanner.kt
@@ -12,16 +12,16 @@
 import flaxfield.quota.TeamUsage
 
 /**
- * What capacity the fleet should have: that for the waiting tasks, in the order in which they are served, and spare
- * capacity for the jobs expected next. Owned by the owner thread.
+ * Computes the capacity that the fleet needs: for pending tasks in scheduling order, and spare capacity for expected
+ * jobs. Confined to the owner thread.
  */
 class CapacityPlanner(private val context: ControllerContext) {
     private val arrivals = ArrivalTracker(context.view)
 
-    /** Records the jobs that have arrived; called at every run, on followers as well. */
+    /** Records newly arrived jobs. Called at every tick, on followers as well. */
     fun recordArrivals() = arrivals.record(context.nowMs)
 
-    /** The demands in the order in which they are served. */
+    /** Returns the demands by precedence: pending tasks in scheduling order, the subsystem's, spare capacity. */
     fun demands(): List<CapacityDemand> =
         DemandMerger.merge(waitingDemands()) + context.subsystem?.demands().orEmpty() + spareDemands()
 
@@ -41,19 +41,19 @@
         val ordered = context.scheduling.schedulingOrder(waiting, usage)
         val demands = ArrayList<CapacityDemand>()
         for (job in LargeGangReservation.withReservedFirst(reservedGang(waiting, usage), ordered)) {
-            // A job that seems to be a mistake is tried on existing machines for a long time before any is rented.
+            // A job that keeps failing uses existing machines only, until its retry is long overdue.
             if (job.isDeprioritized(overdueBeforeMs)) continue
-            val tasks = minOf(slots(job), context.scheduling.admissibleTasks(job, usage))
+            val tasks = minOf(slotsToProvision(job), context.scheduling.admissibleTasks(job, usage))
             if (tasks <= 0 || job.isGang && tasks < job.spec.taskCount) continue
             usage.add(job.spec.team, job.spec.taskResources * tasks)
             if (!job.isGang && job.spec.preemptible) queuedSpotTasks += tasks
-            val queueS = if (spotCompletionsPerS > 0.0) queuedSpotTasks / spotCompletionsPerS else Double.MAX_VALUE
-            demands += CapacityDemand(job.spec, tasks, isUrgent(job, queueS), context.scheduling.isStarved(job))
+            val queueWaitS = if (spotCompletionsPerS > 0.0) queuedSpotTasks / spotCompletionsPerS else Double.MAX_VALUE
+            demands += CapacityDemand(job.spec, tasks, isUrgent(job, queueWaitS), context.scheduling.isStarved(job))
         }
         return demands
     }
 
-    /** Jobs with pending tasks that may start now and have no machines reserved yet. */
+    /** Returns the jobs with pending tasks that may start now and that have no machines reserved yet. */
     private fun waitingJobs(): List<Job> {
         val view = context.view
         val withReservation = view.machines.values.mapNotNullTo(HashSet()) { view.activeReservation(it)?.job }
@@ -62,12 +62,12 @@
         }
     }
 
-    /** How many tasks a second finish on spot machines, from their expected run times. */
+    /** Returns the expected task completions per second on spot machines, from the expected run times. */
     private fun spotCompletionsPerS(): Double = context.view.jobs.values
         .filter { !it.isGang && it.spec.preemptible }
         .sumOf { it.placedCount / maxOf(1.0, it.spec.expectedRuntimeS) }
 
-    /** The large gang that capacity is kept together for, unless its team's limit keeps it from starting. */
+    /** Returns the large gang that machines are reserved for; null if its team's quota keeps it from starting. */
     private fun reservedGang(waiting: List<Job>, usage: TeamUsage): Job? {
         val gangs = waiting.filter { it.isGang && it.placedCount == 0 }
         return LargeGangReservation.selectGang(gangs, LargeGangReservation.overdueBeforeMs(context.nowMs))?.takeIf {
@@ -76,9 +76,10 @@
     }
 
     /**
-     * How many task slots to provide for a job's pending tasks: fewer than tasks, where one slot runs several in turn.
+     * Returns the number of task slots to provide for a job's pending tasks. It is lower than the number of tasks if
+     * one slot runs several short tasks in turn.
      */
-    private fun slots(job: Job): Int {
+    private fun slotsToProvision(job: Job): Int {
         if (job.isGang) return job.pendingCount
         val bootTimeS = allowedMachineTypes(job.spec).minOfOrNull { it.bootTimeS } ?: 0.0
         return ShortTaskPolicy.placesToProvision(
@@ -91,15 +92,17 @@
     }
 
     /**
-     * Whether a job that may use both kinds gets on-demand machines, which cost several times as much as spot machines:
-     * only when it has waited long, or sooner when there are no spot machines for it at all.
+     * Whether on-demand machines may be rented for a job that could use spot machines. They cost several times as much,
+     * so the job must have waited long. The wait is shorter if there are no spot machines for it at all.
      */
-    private fun isUrgent(job: Job, queueS: Double): Boolean {
+    private fun isUrgent(job: Job, queueWaitS: Double): Boolean {
         if (context.zones?.isRestrictedToSpot(job) == true) return false
         val ageS = (context.nowMs - job.submittedMs) / MILLIS_PER_SECOND
         val objectives = context.settings.objectives.filter { it.jobClass == job.spec.jobClass }
-        val startObjectivesS = objectives.filter { it.kind == START_OBJECTIVE }.map { it.withinS }
-        if (OnDemandUrgency.isStartObjectiveAtRisk(ageS, provisioningS(job.spec), queueS, startObjectivesS)) return true
+        val startObjectivesS = objectives.filter { it.kind == START_OBJECTIVE_KIND }.map { it.withinS }
+        if (OnDemandUrgency.isStartObjectiveAtRisk(ageS, provisioningS(job.spec), queueWaitS, startObjectivesS)) {
+            return true
+        }
         val hasSpotMachines = context.view.machines.values.any {
             it.preemptible && TopologyConstraint.allowsMachineKind(job.spec, it.machineType, it.zone, true)
         }
@@ -107,10 +110,10 @@
             return OnDemandUrgency.isOverdueWithoutObjective(ageS, begun = job.placedCount + job.doneCount > 0)
         }
         val withinS = objectives.maxOfOrNull { it.withinS } ?: context.settings.workers.cancelS
-        return ageS > withinS * (if (hasSpotMachines) URGENT_SHARE else URGENT_SHARE_WITHOUT_SPOT)
+        return ageS > withinS * (if (hasSpotMachines) URGENT_AGE_FACTOR else URGENT_AGE_FACTOR_WITHOUT_SPOT)
     }
 
-    /** How long a job like [spec] waits for a new machine: boot and image fetch on the cheapest type. */
+    /** Returns how long a job like [spec] waits for a new machine: boot and image fetch on the cheapest type. */
     private fun provisioningS(spec: JobSpec): Double {
         val machineType = allowedMachineTypes(spec).minByOrNull { it.onDemandPricePerHour } ?: return 0.0
         return machineType.bootTimeS + spec.imageGb / machineType.fetchGbPerS
@@ -120,11 +123,13 @@
         context.view.machineTypes.values.filter { JobAdmission.allowed(spec, it) }
 
     private companion object {
-        /** The kind of objective about the time until a job starts, as the settings name it. */
-        const val START_OBJECTIVE = "wait"
+        /** The kind of a service-level objective for the time until a job starts, as named in the settings. */
+        const val START_OBJECTIVE_KIND = "wait"
+
+        /** A job is urgent once it is older than its longest objective times this factor. */
+        const val URGENT_AGE_FACTOR = 2.0
 
-        /** A job is urgent after this share of its longest objective; sooner without spot machines. */
-        const val URGENT_SHARE = 2.0
-        const val URGENT_SHARE_WITHOUT_SPOT = 0.2
+        /** The lower factor for a job that there are no spot machines for. */
+        const val URGENT_AGE_FACTOR_WITHOUT_SPOT = 0.2
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/CloudClient.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudClient.kt
@@ -6,9 +6,9 @@
 import flaxfield.net.HttpStatus
 import flaxfield.net.HttpTransport
 
-/** Client of the cloud's API. Callbacks run on the event loop, not on the owner thread. */
+/** A client of the cloud API. Callbacks run on the event loop, not on the owner thread. */
 class CloudClient(private val http: HttpTransport, private val timeoutMs: Long) {
-    /** Fetches the machine types by label; null without a usable answer. */
+    /** Fetches the machine types by label; [done] gets null if there is no usable response. */
     fun machineTypes(done: (Map<String, MachineType>?) -> Unit) {
         http.send("GET", "/flavors", null, timeoutMs) { response ->
             done(
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Requests the machines of [rental]. */
+    /** Sends the request for the machines of [rental]. */
     fun rent(rental: Rental, done: (RentalResponse) -> Unit) {
         val body = Cbor.encode(
             mapOf(
@@ -49,48 +49,42 @@
         return if (lacksCapacity) RentalResponse.NoCapacity else RentalResponse.Unclear
     }
 
-    /** Returns machines; [done] gets true once they are gone with all that ran on them. */
+    /** Returns machines to the cloud; [done] gets true once they are terminated with everything that ran on them. */
     fun returnMachines(machineNames: List<String>, done: (Boolean) -> Unit) {
         http.send("POST", "/machines/return", Cbor.encode(mapOf("hosts" to machineNames)), timeoutMs) {
             done(it?.status == HttpStatus.OK)
         }
     }
 
-    /** Lists the machines after the one named [from], or the first ones; null without a usable answer. */
+    /** Lists the machines after [from], or the first ones if it is null; [done] gets null without a usable response. */
     fun listMachines(from: String?, done: (MachineListPage?) -> Unit) {
         val start = if (from == null) "" else "from=$from&"
         http.send("GET", "/machines?${start}limit=$PAGE_SIZE", null, timeoutMs) { response ->
             done(
                 decodeOr(null) {
-                    if (response?.status ==
-                        HttpStatus.OK
-                    ) {
-                        decodePage(Cbor.decode(response.body))
-                    } else {
-                        null
-                    }
+                    if (response?.status == HttpStatus.OK) decodePage(Cbor.decode(response.body)) else null
                 },
             )
         }
     }
 
     private fun decodePage(fields: FieldMap) = MachineListPage(
-        fields.mapList("hosts").map { ListedMachine(it.requireText("id"), it.text("phase") == FAILED) },
+        fields.mapList("hosts").map { ListedMachine(it.requireText("id"), it.text("phase") == FAILED_PHASE) },
         fields.boolean("more") ?: false,
     )
 
-    /** What [decode] gives, or [fallback] for a body that is not what the protocol says. */
+    /** Returns the result of [decode], or [fallback] if the body violates the protocol. */
     private fun <T> decodeOr(fallback: T, decode: () -> T): T = try {
         decode()
     } catch (_: MalformedException) {
-        // An unreadable answer is handled as none: the request is repeated.
+        // An unreadable response is handled like a missing one: the request is repeated.
         fallback
     }
 
     private companion object {
         const val PAGE_SIZE = 500
 
-        /** The listed phase of a machine that has stopped by itself. */
-        const val FAILED = "failed"
+        /** The listed phase of a machine that terminated on its own. */
+        const val FAILED_PHASE = "failed"
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/CloudInventory.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudInventory.kt
@@ -4,70 +4,70 @@
 import flaxfield.controller.ControllerContext
 
 /**
- * Reads the cloud's list of machines page by page, and knows from it which machines have stopped by themselves and
- * which are orphaned. The list lags behind, so that it is a hint only, except that a failed machine stays failed. Owned
- * by the owner thread; only the leader uses it.
+ * Reads the cloud's machine list page by page to detect failed and orphaned machines. The list is eventually consistent
+ * and therefore only a hint, except that a failed machine stays failed. Confined to the owner thread; only the leader
+ * uses it.
  */
 class CloudInventory(
     private val context: ControllerContext,
     private val cloud: CloudClient,
     private val rateLimiter: CloudRateLimiter,
 ) {
-    /** The pages read so far of one list; the next one starts after the machine named [from]. */
+    /** The machines on the pages read so far; the next page starts after the machine named [from]. */
     private class PartialList(val from: String?, val machines: List<ListedMachine>)
 
-    private var requestOpen = false
+    private var requestInFlight = false
 
-    /** The list that is being read; null between two lists. */
-    private var partial: PartialList? = null
+    /** The list that is being read; null while none is. */
+    private var partialList: PartialList? = null
     private var nextListNs = 0L
     private val failed = HashSet<String>()
     private val orphanedMachines = OrphanedMachines()
 
-    /** Whether further pages of a list are to be read. */
-    val isReading: Boolean get() = partial != null
+    /** Whether the list that is being read has further pages. */
+    val hasMorePages: Boolean get() = partialList != null
 
-    /** Drops what earlier lists told; called when this process is no longer leader. */
+    /** Discards the partial list and the orphaned machines; called when this process is no longer the leader. */
     fun reset() {
         orphanedMachines.clear()
-        partial = null
+        partialList = null
         nextListNs = 0
     }
 
-    /** Whether the cloud has listed [machineName] as stopped by itself. */
+    /** Whether the cloud has listed [machineName] as failed. */
     fun isFailed(machineName: String): Boolean = machineName in failed
 
-    /** Machines that have been orphaned for longer than the list can lag behind. */
+    /** Returns the machines that have been orphaned for longer than the list can lag behind. */
     fun orphaned(): List<String> {
-        val graceNs = ((context.settings.listLagS * 2 + LISTED_AFTER_END_S) * NANOS_PER_SECOND).toLong()
+        val graceNs = ((context.settings.listLagS * 2 + LISTED_AFTER_TERMINATION_S) * NANOS_PER_SECOND).toLong()
         return orphanedMachines.orphanedBefore(context.view.machines.keys, context.nowNs - graceNs)
     }
 
-    /** Drops [machineName], which has been returned. */
+    /** Stops tracking [machineName], which has been returned. */
     fun remove(machineName: String) {
         orphanedMachines.remove(machineName)
         failed.remove(machineName)
     }
 
-    /** Requests the next page when it is due. Each page counts against the cloud's rate limit. */
+    /** Requests the next page, or a new list if one is due. Each page counts against the cloud's rate limit. */
     fun refresh() {
-        if (requestOpen || partial == null && context.nowNs < nextListNs) return
+        if (requestInFlight || partialList == null && context.nowNs < nextListNs) return
         if (!rateLimiter.tryAcquire(context.nowNs)) return
-        requestOpen = true
-        val pagesBefore = partial ?: PartialList(null, emptyList())
-        cloud.listMachines(pagesBefore.from) { page -> context.post { onPage(pagesBefore, page) } }
+        requestInFlight = true
+        val previousPages = partialList ?: PartialList(null, emptyList())
+        cloud.listMachines(previousPages.from) { page -> context.post { onPage(previousPages, page) } }
     }
 
-    private fun onPage(pagesBefore: PartialList, page: MachineListPage?) {
-        requestOpen = false
-        partial = null
+    private fun onPage(previousPages: PartialList, page: MachineListPage?) {
+        requestInFlight = false
+        partialList = null
         if (page == null) {
             nextListNs = context.nowNs + listLagNs()
             return
         }
-        val machines = pagesBefore.machines + page.machines
+        val machines = previousPages.machines + page.machines
         if (page.hasMore && page.machines.isNotEmpty()) {
-            partial = PartialList(page.machines.last().machineName, machines)
+            partialList = PartialList(page.machines.last().machineName, machines)
         } else {
             onList(machines)
         }
@@ -85,7 +85,7 @@
     private fun listLagNs(): Long = (context.settings.listLagS * NANOS_PER_SECOND).toLong()
 
     private companion object {
-        /** PROTOCOL-flaxfield.md: a machine that has ended stays listed for about 30 s more. */
-        const val LISTED_AFTER_END_S = 30.0
+        /** PROTOCOL-flaxfield.md: a terminated machine stays listed for about 30 s. */
+        const val LISTED_AFTER_TERMINATION_S = 30.0
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/CloudRateLimiter.kt
+++ b/src/main/kotlin/flaxfield/fleet/CloudRateLimiter.kt
@@ -3,15 +3,15 @@
 import flaxfield.NANOS_PER_SECOND
 
 /**
- * Token bucket for requests to the cloud. It stays [SAFE_SHARE] of the cloud's limit, [requestsPerS], and allows bursts
- * of [BURST_S] seconds' worth. Owned by the owner thread.
+ * A token bucket for requests to the cloud. It uses [SAFE_SHARE] of the cloud's limit, [requestsPerS], and allows
+ * bursts of [BURST_S] seconds' worth of requests. Confined to the owner thread.
  */
 class CloudRateLimiter(requestsPerS: Double) {
     private val tokensPerS = requestsPerS * SAFE_SHARE
     private var tokens = 0.0
     private var refilledAtNs = 0L
 
-    /** Takes the token for one request; false if none may be sent at [nowNs] (monotonic clock). */
+    /** Takes a token for one request; returns false if none is available at [nowNs] (monotonic clock). */
     fun tryAcquire(nowNs: Long): Boolean {
         tokens = if (refilledAtNs == 0L) {
             tokensPerS
--- a/src/main/kotlin/flaxfield/fleet/DemandMerger.kt
+++ b/src/main/kotlin/flaxfield/fleet/DemandMerger.kt
@@ -4,14 +4,14 @@
 import flaxfield.jobs.Resources
 
 /**
- * Pure: merges small demands of the same kind into one, which keeps bin packing cheap when there are thousands of small
- * jobs. Each task of a merged demand is as large as the largest of its parts.
+ * Pure: merges small demands of the same kind, which keeps bin packing cheap with thousands of small jobs. The task
+ * resources of a merged demand are the maximum over its parts, for each resource.
  */
 object DemandMerger {
     /** Demands with more tasks than this are not merged. */
     private const val MAX_MERGED_TASKS = 4
 
-    /** Demands with equal keys may be merged; [position] keeps one that may not apart from all others. */
+    /** Demands with equal keys are merged. A demand that may not be merged has its [position] as a unique key. */
     private data class MergeKey(
         val position: Int?,
         val jobClass: String,
@@ -23,7 +23,7 @@
         val isStarved: Boolean,
     )
 
-    /** [demands] with the small ones merged; each result stands where the first of its parts stood. */
+    /** Returns [demands] with the small ones merged; each result takes the position of the first of its parts. */
     fun merge(demands: List<CapacityDemand>): List<CapacityDemand> {
         val merged = LinkedHashMap<MergeKey, CapacityDemand>()
         for ((position, demand) in demands.withIndex()) {
--- a/src/main/kotlin/flaxfield/fleet/FleetCodec.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetCodec.kt
@@ -4,11 +4,11 @@
 import flaxfield.jobs.Resources
 import flaxfield.store.StoreKeys
 
-/** The stored form of machines, rentals and machine types; that of machine types is also the cloud's wire form. */
+/** Encodes and decodes stored machines, rentals and machine types. The cloud sends machine types in the same form. */
 object FleetCodec {
     private const val DEFAULT_FETCH_GB_PER_S = 1.0
 
-    /** The stored value of [machine]; its name and version are the store's. */
+    /** Returns the stored value of [machine], without its name (in the key) and its version (kept by the store). */
     fun encode(machine: Machine): Map<String, Any?> = mapOf(
         "flavor" to machine.machineType,
         "site" to machine.zone,
@@ -26,7 +26,7 @@
         "try" to reservation.attempt,
     )
 
-    /** The machine stored under [key] at [version]. */
+    /** Returns the machine stored under [key] at [version]. */
     fun decodeMachine(fields: FieldMap, key: String, version: ULong) = Machine(
         key.removePrefix(StoreKeys.MACHINE),
         fields.requireText("flavor"),
@@ -47,16 +47,16 @@
         fields.unsigned("try")?.toLong() ?: 0L,
     )
 
-    /** The stored value of [rental]; its name and version are the store's. */
+    /** Returns the stored value of [rental], without its name (in the key) and its version (kept by the store). */
     fun encode(rental: Rental): Map<String, Any?> = mapOf(
         "flavor" to rental.machineType,
         "site" to rental.zone,
         "lendable" to rental.preemptible,
         "count" to rental.count,
-        "at" to rental.sinceMs,
+        "at" to rental.requestedMs,
     )
 
-    /** The rental stored under [key] at [version]. */
+    /** Returns the rental stored under [key] at [version]. */
     fun decodeRental(fields: FieldMap, key: String, version: ULong) = Rental(
         key.removePrefix(StoreKeys.RENTAL),
         fields.requireText("flavor"),
@@ -67,7 +67,7 @@
         version,
     )
 
-    /** The stored value of all machine types, as the cloud listed them at [atMs]. */
+    /** Returns the stored value of all machine types, as listed by the cloud at [atMs]. */
     fun encodeMachineTypes(all: Collection<MachineType>, atMs: Long): Map<String, Any?> = mapOf(
         "at" to atMs,
         "flavors" to all.map(::encode),
@@ -86,7 +86,7 @@
         "sites" to machineType.zones,
     )
 
-    /** Machine types by label, from the cloud's answer or from their stored copy. */
+    /** Decodes machine types from the cloud's response or from their stored copy; the result is keyed by label. */
     fun machineTypes(fields: FieldMap): Map<String, MachineType> =
         fields.mapList("flavors").map(::decodeMachineType).associateBy { it.label }
 
--- a/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/FleetReconciler.kt
@@ -6,28 +6,28 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Autoscaling of the fleet by the leader: refreshes the machine types, scales out and in, and plans at a fixed interval
- * which machines to retire and which to rent. Owned by the owner thread.
+ * Autoscales the fleet on the leader: refreshes the machine types, scales out and in, and plans at a fixed interval
+ * which machines to retire and which to rent. Confined to the owner thread.
  */
 class FleetReconciler(private val context: ControllerContext, cloud: CloudClient, taskEvents: TaskEventCommitter) {
     private val rateLimiter = CloudRateLimiter(context.settings.cloudRps)
-    private val machineTypes = MachineTypeRefresher(context, cloud, rateLimiter)
+    private val machineTypeRefresher = MachineTypeRefresher(context, cloud, rateLimiter)
     private val scaleOut = ScaleOutReconciler(context, cloud, rateLimiter)
     private val scaleIn = ScaleInReconciler(context, cloud, rateLimiter, taskEvents)
-    private val capacity = CapacityPlanner(context)
-    private val boots = BootMonitor(context.view)
+    private val capacityPlanner = CapacityPlanner(context)
+    private val bootMonitor = BootMonitor(context.view)
     private val idleMachines = IdleMachines()
-    private val retirement = RetirementPlanner(context, scaleIn, boots, idleMachines)
-    private val scaleOutPlanner = ScaleOutPlanner(context, capacity, scaleOut, boots, idleMachines)
+    private val retirementPlanner = RetirementPlanner(context, scaleIn, bootMonitor, idleMachines)
+    private val scaleOutPlanner = ScaleOutPlanner(context, capacityPlanner, scaleOut, bootMonitor, idleMachines)
 
     private var wasLeader = false
     private var lastTerm: ULong? = null
-    private var termSinceNs = 0L
+    private var termStartNs = 0L
     private var nextPlanNs = 0L
 
-    /** Does what is due; called at every tick, on followers as well. */
+    /** Runs one reconciliation pass; called at every tick, on followers as well. */
     fun run() {
-        capacity.recordArrivals()
+        capacityPlanner.recordArrivals()
         if (!context.leadership.isLeader()) {
             if (wasLeader) reset()
             return
@@ -37,7 +37,7 @@
             log.info("event=fleet_reconciliation_started term={}", context.leadership.term())
         }
         if (context.leadership.term() != lastTerm) onNewTerm()
-        machineTypes.refresh()
+        machineTypeRefresher.refresh()
         scaleOut.run()
         scaleIn.run()
         if (context.nowNs >= nextPlanNs && context.view.machineTypes.isNotEmpty() && isViewFresh()) plan()
@@ -45,7 +45,7 @@
 
     private fun onNewTerm() {
         lastTerm = context.leadership.term()
-        termSinceNs = context.nowNs
+        termStartNs = context.nowNs
         if (context.view.machines.isNotEmpty()) {
             nextPlanNs = context.nowNs + secondsToNs(context.settings.workers.leaseS * FIRST_PLAN_LEASES)
         }
@@ -54,14 +54,14 @@
     private fun plan() {
         val heartbeatIntervalS = context.settings.workers.heartbeatIntervalS
         nextPlanNs = context.nowNs + secondsToNs(heartbeatIntervalS * ScaleOutPlanner.PLAN_INTERVAL_HEARTBEATS)
-        boots.update()
-        retirement.run(workersHadTimeToReport())
+        bootMonitor.update()
+        retirementPlanner.run(workersHadTimeToReport())
         scaleOutPlanner.run()
     }
 
     /**
-     * Whether the view is recent enough to show this process's own writes. On an older one the same machines would be
-     * requested again.
+     * Whether the view is recent enough to include this process's own writes. With a stale view the same machines
+     * would be requested again.
      */
     private fun isViewFresh(): Boolean = context.viewFreshness.within(
         secondsToNs(context.settings.workers.heartbeatIntervalS * MAX_VIEW_AGE_HEARTBEATS),
@@ -69,18 +69,18 @@
     )
 
     /**
-     * Whether every worker has had the time to find its owner under this term. Until then a machine that has not
+     * Whether every worker has had the time to find its owner in this term. Until then, a machine that has not
      * reported may still be up.
      */
     private fun workersHadTimeToReport(): Boolean =
-        context.nowNs - termSinceNs > context.settings.workers.leaseS * NANOS_PER_SECOND
+        context.nowNs - termStartNs > context.settings.workers.leaseS * NANOS_PER_SECOND
 
     private fun reset() {
         wasLeader = false
         scaleIn.reset()
         idleMachines.clear()
         scaleOut.reset()
-        machineTypes.reset()
+        machineTypeRefresher.reset()
     }
 
     private fun secondsToNs(seconds: Double): Long = (seconds * NANOS_PER_SECOND).toLong()
@@ -88,12 +88,12 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.fleet")
 
-        /** How old the view may be for a plan, in heartbeat intervals: a lost response is repeated within one. */
+        /** The maximum age of the view for a plan, in heartbeat intervals: a lost response is repeated within one. */
         const val MAX_VIEW_AGE_HEARTBEATS = 1.5
 
         /**
-         * The first plan under a term waits this share of a lease: workers report first, and the cost of the plan in a
-         * process that has just started does not delay the renewal of their leases.
+         * The delay of the first plan in a term, as a share of a lease. Workers report first, and the cost of the plan
+         * in a process that has just started does not delay the renewal of their leases.
          */
         const val FIRST_PLAN_LEASES = 0.2
     }
--- a/src/main/kotlin/flaxfield/fleet/IdleMachines.kt
+++ b/src/main/kotlin/flaxfield/fleet/IdleMachines.kt
@@ -1,10 +1,10 @@
 package flaxfield.fleet
 
-/** Since when machines have not been needed, as the capacity plans found. Owned by the owner thread. */
+/** Tracks since when machines have been idle, as found by the capacity plans. Confined to the owner thread. */
 class IdleMachines {
     private val sinceNs = HashMap<String, Long>()
 
-    /** Since when [machineName] has been idle, by the monotonic clock; null if it is not. */
+    /** Returns since when [machineName] has been idle (monotonic clock); null if it is not idle. */
     fun idleSinceNs(machineName: String): Long? = sinceNs[machineName]
 
     /** Records whether [machineName] is idle at [nowNs]. */
@@ -12,11 +12,11 @@
         if (isIdle) sinceNs.putIfAbsent(machineName, nowNs) else sinceNs.remove(machineName)
     }
 
-    /** Drops all machines that are not in [machineNames]. */
+    /** Stops tracking all machines that are not in [machineNames]. */
     fun retain(machineNames: Set<String>) {
         sinceNs.keys.retainAll(machineNames)
     }
 
-    /** Drops all machines. */
+    /** Stops tracking all machines. */
     fun clear() = sinceNs.clear()
 }
--- a/src/main/kotlin/flaxfield/fleet/Machine.kt
+++ b/src/main/kotlin/flaxfield/fleet/Machine.kt
@@ -1,32 +1,31 @@
 package flaxfield.fleet
 
-/** How far a machine is between its rental and its return. */
+/** The lifecycle phase of a rented machine. */
 enum class MachinePhase {
     /** Rented; it may still be booting. */
     UP,
 
-    /** No longer needed: nothing new is placed on it, and array tasks on it are moved away. */
+    /** Surplus: no new tasks are placed on it, and its array tasks are moved to other machines. */
     DRAINING,
 
-    /** About to be returned, or returned without an answer from the cloud so far. */
+    /** To be returned, or returned without a confirmation from the cloud so far. */
     RETIRING,
 }
 
 /**
- * The leader's reservation of a machine for [tasks] tasks of a gang. It is void under any other term than the one it
- * was made in, and once the gang's [attempt] is placed or the gang has finished: no further write is needed to release
- * it.
+ * The leader's reservation of a machine for [tasks] tasks of a gang. It is void in any [term] but its own, and once the
+ * gang's [attempt] is placed or the gang has finished. No further write is needed to release it.
  */
 data class MachineReservation(
     val job: String,
     val term: ULong,
     val tasks: Int,
-    /** Whether tasks of other jobs are preempted to make the machine free. */
+    /** Whether tasks of other jobs are preempted to free the machine. */
     val evict: Boolean,
     val attempt: Long,
 )
 
-/** The stored record of a rented machine, from the answer to its rental until the answer to its return. */
+/** The stored record of a machine, from the cloud's response to its rental until the response to its return. */
 data class Machine(
     val name: String,
     val machineType: String,
@@ -37,9 +36,9 @@
     val sinceMs: Long,
     val reservation: MachineReservation?,
     val version: ULong,
-    /** The drain that keeps new work off this machine; null if none does. */
+    /** The drain that cordons this machine; null if it is not cordoned. */
     val cordon: String? = null,
 ) {
-    /** Whether its record allows new work on it. */
+    /** Whether its record allows new tasks on it: it is neither draining, retiring nor cordoned. */
     val takesWork: Boolean get() = phase == MachinePhase.UP && cordon == null
 }
--- a/src/main/kotlin/flaxfield/fleet/MachineType.kt
+++ b/src/main/kotlin/flaxfield/fleet/MachineType.kt
@@ -2,18 +2,18 @@
 
 import flaxfield.jobs.Resources
 
-/** A machine type as the cloud offers it. */
+/** A machine type that the cloud offers. */
 data class MachineType(
     val label: String,
-    /** What one machine of this type has. */
+    /** The resources of one machine. */
     val capacity: Resources,
-    /** Local disk for images, in GB. */
+    /** The local disk space for cached images, in GB. */
     val cacheGb: Double,
-    /** How fast one machine fetches images. */
+    /** The rate at which one machine fetches images, in GB per second. */
     val fetchGbPerS: Double,
     val onDemandPricePerHour: Double,
     val spotPricePerHour: Double,
-    /** The usual time from the rental until a machine reports, in seconds; some take several times as long. */
+    /** The usual time from the rental until the machine reports, in seconds; some take several times as long. */
     val bootTimeS: Double,
     val zones: List<String>,
 )
--- a/src/main/kotlin/flaxfield/fleet/MachineTypeRefresher.kt
+++ b/src/main/kotlin/flaxfield/fleet/MachineTypeRefresher.kt
@@ -10,7 +10,7 @@
 import flaxfield.store.WriteCause
 
 /**
- * Keeps the stored machine types and their prices up to date with the cloud. Owned by the owner thread; only the leader
+ * Keeps the stored machine types and their prices in sync with the cloud. Confined to the owner thread; only the leader
  * uses it.
  */
 class MachineTypeRefresher(
@@ -18,20 +18,20 @@
     private val cloud: CloudClient,
     private val rateLimiter: CloudRateLimiter,
 ) {
-    private var requestOpen = false
+    private var requestInFlight = false
     private var nextRequestNs = 0L
 
-    /** Forgets when the next request is due; called when this process is no longer leader. */
+    /** Resets the time of the next request; called when this process is no longer the leader. */
     fun reset() {
         nextRequestNs = 0
     }
 
     /** Requests the machine types if the stored ones are missing or old. */
     fun refresh() {
-        if (requestOpen || context.nowNs < nextRequestNs) return
+        if (requestInFlight || context.nowNs < nextRequestNs) return
         if (context.transactions.isWritePending(StoreKeys.MACHINE_TYPES)) return
         if (isStoredCopyRecent() || !rateLimiter.tryAcquire(context.nowNs)) return
-        requestOpen = true
+        requestInFlight = true
         cloud.machineTypes { machineTypes -> context.post { onResponse(machineTypes) } }
     }
 
@@ -39,9 +39,9 @@
         context.nowMs - context.view.machineTypesWrittenMs < REFRESH_INTERVAL_S * MILLIS_PER_SECOND
 
     private fun onResponse(machineTypes: Map<String, MachineType>?) {
-        requestOpen = false
-        // Requested again soon until the view has them, as no job is served without machine types and their write may
-        // conflict with a new assignment. Those in the view are requested again only when they are old.
+        requestInFlight = false
+        // No job can be scheduled without machine types, and their write may conflict with a new assignment. They are
+        // requested at this short interval until the view has them, and later only when they are out of date.
         val retryS = context.settings.workers.heartbeatIntervalS * RETRY_HEARTBEATS
         nextRequestNs = context.nowNs + (retryS * NANOS_PER_SECOND).toLong()
         if (machineTypes != null && context.leadership.isLeader()) store(machineTypes.values)
@@ -55,7 +55,7 @@
     }
 
     private companion object {
-        /** Prices change: stored machine types older than this are requested again. */
+        /** Stored machine types older than this are requested again, since prices change. */
         const val REFRESH_INTERVAL_S = 60.0
 
         /** The time between two requests while the machine types are missing, in heartbeat intervals. */
--- a/src/main/kotlin/flaxfield/fleet/Offer.kt
+++ b/src/main/kotlin/flaxfield/fleet/Offer.kt
@@ -1,4 +1,4 @@
 package flaxfield.fleet
 
-/** What can be rented: machines of one type in one zone, on-demand or [preemptible] (spot). */
+/** An offer of the cloud: machines of one type in one zone, either on-demand or [preemptible] (spot). */
 data class Offer(val machineType: String, val zone: String, val preemptible: Boolean)
--- a/src/main/kotlin/flaxfield/fleet/OfferSelector.kt
+++ b/src/main/kotlin/flaxfield/fleet/OfferSelector.kt
@@ -3,23 +3,23 @@
 import flaxfield.arrays.TopologyConstraint
 import flaxfield.jobs.JobSpec
 
-/** Whether tasks of a job may run on machines of this type and kind (spot or on-demand). */
+/** Decides whether tasks of a job may run on machines of a type and kind (spot or on-demand). */
 fun interface MachineKindFilter {
-    /** Whether tasks of [spec] may run on such a machine. */
+    /** Whether tasks of [spec] may run on a machine of [machineType] that is [preemptible] or on-demand. */
     operator fun invoke(spec: JobSpec, machineType: String, preemptible: Boolean): Boolean
 }
 
-/** The number of machines per controller of a zone, if it got some more machines. */
+/** Computes a zone's load: its number of machines per controller. */
 fun interface ZoneLoad {
-    /** The load of [zone] with [additionalMachines] more. */
+    /** Returns the load of [zone] with [additionalMachines] more machines. */
     operator fun invoke(zone: String, additionalMachines: Int): Double
 }
 
 /**
- * Pure: selects the offer with the lowest price per task that a new machine would run. Among equal prices it takes the
- * zone with the lowest [load], and among equal loads the first in the order of the machine types and their zones.
+ * Pure: selects the offer with the lowest price per task that a new machine would run. Ties are broken by the lowest
+ * [load] of the zone, then by the order of the machine types and their zones.
  *
- * [price] is the price of an offer per hour, or null if it can't be rented now.
+ * [price] returns the hourly price of an offer, or null if it can't be rented now.
  */
 class OfferSelector(
     private val machineTypes: Map<String, MachineType>,
@@ -27,12 +27,12 @@
     private val load: ZoneLoad = ZoneLoad { _, _ -> 0.0 },
     private val price: (Offer) -> Double?,
 ) {
-    /** The machine type of [offer], which this selector has returned. */
+    /** Returns the machine type of an [offer] that this selector has returned. */
     fun machineType(offer: Offer): MachineType = machineTypes.getValue(offer.machineType)
 
     /**
-     * The best offer for [tasks] more tasks of [demand] under its [topology] constraint, beside the machines already
-     * [planned]; null if no offer suits.
+     * Returns the best offer for [tasks] more tasks of [demand] under its [topology] constraint, given the machines
+     * already [planned]; null if no offer is suitable.
      */
     fun select(demand: CapacityDemand, tasks: Int, topology: TopologyConstraint, planned: Map<Offer, Int>): Offer? {
         val spec = demand.spec
--- a/src/main/kotlin/flaxfield/fleet/Rental.kt
+++ b/src/main/kotlin/flaxfield/fleet/Rental.kt
@@ -2,7 +2,7 @@
 
 /**
  * A request for [count] machines. It is stored before it is sent to the cloud, so that a new leader can repeat it under
- * the same name: the cloud answers a repeated name as the first time.
+ * the same name. Requests are idempotent by name: the cloud repeats its first response.
  */
 data class Rental(
     val name: String,
@@ -11,9 +11,9 @@
     val preemptible: Boolean,
     val count: Int,
     /** When it was requested; wall clock in milliseconds. */
-    val sinceMs: Long,
+    val requestedMs: Long,
     val version: ULong,
 ) {
-    /** The offer that it takes up. */
+    /** The offer that is rented. */
     val offer: Offer get() = Offer(machineType, zone, preemptible)
 }
--- a/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
@@ -12,47 +12,57 @@
 import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
-/** Why a machine is retired, and the phase that it enters for that. */
+/** Why a machine is retired, and the phase that it enters. */
 enum class RetirementReason(val phase: MachinePhase) {
-    /** The cloud lists it as stopped by itself. */
+    /** The cloud lists it as terminated on its own. */
     FAILED(MachinePhase.RETIRING),
+
+    /** Its heartbeats have stopped. */
     SILENT(MachinePhase.RETIRING),
+
+    /** It fails the tasks that it starts. */
     FAULTY(MachinePhase.RETIRING),
+
+    /** It has not reported within the boot time limit. */
     BOOT_FAILED(MachinePhase.RETIRING),
 
-    /** A cancelled job still has tasks on it. */
+    /** Tasks of a cancelled job have not stopped in time. */
     CANCELLATION_OVERDUE(MachinePhase.RETIRING),
+
+    /** It was draining, and its last task has left. */
     DRAINED(MachinePhase.RETIRING),
+
+    /** It is empty and not needed. */
     IDLE(MachinePhase.RETIRING),
 
-    /** It is not needed, but still has array tasks on it. */
+    /** It is not needed, but still runs array tasks. */
     SURPLUS(MachinePhase.DRAINING),
 }
 
 /**
- * Decides which machines are retired, and stores the phase that they enter. Returning them is up to
- * [ScaleInReconciler]. Owned by the owner thread; only the leader uses it.
+ * Decides which machines are retired, and stores the phase that they enter. [ScaleInReconciler] returns them to the
+ * cloud. Confined to the owner thread; only the leader uses it.
  */
 class RetirementPlanner(
     private val context: ControllerContext,
     private val scaleIn: ScaleInReconciler,
-    private val boots: BootMonitor,
+    private val bootMonitor: BootMonitor,
     private val idleMachines: IdleMachines,
 ) {
     private class Retirement(val machine: Machine, val reason: RetirementReason, val overdueJob: Job?)
 
     /**
-     * Retires as many machines as one transaction takes. [workersHadTimeToReport] under this term: without it no
-     * machine's boot is judged.
+     * Retires as many machines as fit into one transaction. Boot failures are detected only if [workersHadTimeToReport]
+     * in this term.
      */
     fun run(workersHadTimeToReport: Boolean) {
-        val due = context.view.machines.values
+        val candidates = context.view.machines.values
             .mapNotNull { retirement(it, workersHadTimeToReport) }
             .associateBy { it.machine.name }
         val batchSize = context.transactions.budget.bulk(context.settings.stateLimits.txnOps)
-        val batch = ScaleInOrder.sort(context, due.values.map { it.machine })
+        val batch = ScaleInOrder.sort(context, candidates.values.map { it.machine })
             .take(batchSize)
-            .mapNotNull { due[it.name] }
+            .mapNotNull { candidates[it.name] }
         if (batch.isEmpty() || !store(batch)) return
         batch.forEach(::logRetirement)
     }
@@ -109,12 +119,12 @@
 
     private fun hasBootFailed(machine: Machine, machineType: MachineType): Boolean =
         context.view.isEmpty(machine.name) &&
-            boots.status(machine, machineType, context.nowMs) == BootStatus.LOST
+            bootMonitor.status(machine, machineType, context.nowMs) == BootStatus.FAILED
 
-    /** A job on [machine] whose cancellation has taken so long that only returning the machine ends it. */
+    /** Returns a job on [machine] whose cancellation is so overdue that only returning the machine can complete it. */
     private fun overdueCancellation(machine: Machine): Job? {
         if (context.view.halting.isEmpty()) return null
-        val limitMs = context.settings.workers.cancelS * CANCELLATION_SHARE * MILLIS_PER_SECOND
+        val limitMs = context.settings.workers.cancelS * CANCELLATION_LIMIT_SHARE * MILLIS_PER_SECOND
         return context.view.jobsOn(machine.name).firstOrNull { job ->
             job.cancelledMs?.let { context.nowMs - it > limitMs } ?: false
         }
@@ -133,7 +143,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.fleet")
 
-        /** A cancelled task that still runs after this share of `cancel_s` costs its machine. */
-        const val CANCELLATION_SHARE = 0.5
+        /** A machine is returned if a cancelled task still runs on it after this share of `cancel_s`. */
+        const val CANCELLATION_LIMIT_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/ScaleInOrder.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleInOrder.kt
@@ -2,12 +2,12 @@
 
 import flaxfield.controller.ControllerContext
 
-/** The order in which machines are returned. */
+/** Orders the machines to return. */
 object ScaleInOrder {
     /**
-     * Machines with tasks before empty ones, since those tasks start elsewhere only once the return is answered. While
-     * a zone is lost or returning, machines with the most urgent tasks come first, in the order in which tasks are
-     * served.
+     * Returns machines with tasks before empty ones, since their tasks start elsewhere only after the response to the
+     * return. During the recovery from the loss of a zone, machines are ordered by their most urgent task instead, in
+     * scheduling order.
      */
     fun sort(context: ControllerContext, machines: List<Machine>): List<Machine> {
         val view = context.view
--- a/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Scale in: returns retiring and orphaned machines to the cloud, and deletes their records afterwards. Owned by the
- * owner thread; only the leader uses it.
+ * Scales in: returns retiring and orphaned machines to the cloud, and then deletes their records. Confined to the owner
+ * thread; only the leader uses it.
  */
 class ScaleInReconciler(
     private val context: ControllerContext,
@@ -21,17 +21,17 @@
     private val taskEvents: TaskEventCommitter,
 ) {
     private val inventory = CloudInventory(context, cloud, rateLimiter)
-    private var requestOpen = false
+    private var requestInFlight = false
 
-    /** Machines whose return has been answered, while their records still exist. */
+    /** Machines that have been returned, but whose records still exist. */
     private val returned = HashSet<String>()
 
-    /** Does what is due. */
+    /** Runs one reconciliation pass. */
     fun run() {
         deleteReturned()
-        // A new list comes before returns, since behind them it would be late for what it tells; the further pages of a
-        // long list come after them, since there may be many.
-        if (inventory.isReading) {
+        // Lists and returns share the rate limit. A new list comes first, since a late one would delay the detection of
+        // failed and orphaned machines. Further pages of a list come after returns, since there may be many.
+        if (inventory.hasMorePages) {
             returnMachines()
             inventory.refresh()
         } else {
@@ -40,51 +40,56 @@
         }
     }
 
-    /** Drops what this process knew as leader. */
+    /** Discards the leader's state; called when this process is no longer the leader. */
     fun reset() {
         inventory.reset()
         returned.clear()
     }
 
-    /** Whether the cloud has listed [machineName] as stopped by itself. */
+    /** Whether the cloud has listed [machineName] as failed. */
     fun isFailed(machineName: String): Boolean = inventory.isFailed(machineName)
 
     private fun returnMachines() {
-        if (requestOpen) return
+        if (requestInFlight) return
         val orphaned = inventory.orphaned()
         val names = (retiringMachines() + orphaned).take(MAX_PER_RETURN)
         if (names.isEmpty() || !rateLimiter.tryAcquire(context.nowNs)) return
-        requestOpen = true
+        requestInFlight = true
         cloud.returnMachines(names) { succeeded ->
             context.post {
-                requestOpen = false
-                log.info("event=machines_returned machines={} succeeded={}", names, succeeded)
+                requestInFlight = false
+                log.info(
+                    "event=machines_returned machines={} outcome={}",
+                    names,
+                    if (succeeded) "succeeded" else "failed",
+                )
                 if (succeeded) onReturned(names)
             }
         }
     }
 
     private fun retiringMachines(): List<String> {
-        val due = context.view.machines.values.filter {
+        val returnable = context.view.machines.values.filter {
             it.phase == MachinePhase.RETIRING &&
                 it.name !in returned &&
                 !context.transactions.isWritePending(StoreKeys.MACHINE + it.name) &&
                 context.zones?.mayReturn(it) ?: true
         }
-        return ScaleInOrder.sort(context, due).map { it.name }
+        return ScaleInOrder.sort(context, returnable).map { it.name }
     }
 
     /**
-     * The answer to a return proves that the machines and all that ran on them are gone. Nothing can be placed on them
-     * any more: a placement has the machine's version as condition, and its retirement has changed that.
+     * Records the loss of the tasks on returned machines. A successful return proves that the machines and everything
+     * on them are terminated. No new task can be placed on them: a placement is conditional on the version of the
+     * machine's record, which its retirement has changed.
      */
     private fun onReturned(machineNames: List<String>) {
         for (machineName in machineNames) {
             inventory.remove(machineName)
             val machine = context.view.machines[machineName] ?: continue
             if (!context.leadership.isLeader()) continue
-            // A machine that was returned as orphaned and got its record meanwhile may still be given tasks: it is
-            // retired and returned once more.
+            // A machine that was returned as orphaned may have got its record in the meantime, and may still be given
+            // tasks. It is retired and returned again.
             if (machine.phase == MachinePhase.RETIRING) returned += machineName
             for (task in context.view.on(machineName)) {
                 val event = TaskEvent.Lost(
@@ -102,7 +107,7 @@
         deleteReturned()
     }
 
-    /** Deletes the records of returned machines, once those of their tasks are gone. */
+    /** Deletes the records of returned machines that have no task records left. */
     private fun deleteReturned() {
         if (returned.isEmpty()) return
         val view = context.view
@@ -121,7 +126,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.fleet")
 
-        /** PROTOCOL-flaxfield.md: at most so many names in one return. */
+        /** PROTOCOL-flaxfield.md: the maximum number of machines in one return. */
         const val MAX_PER_RETURN = 100
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
@@ -6,29 +6,29 @@
 import flaxfield.jobs.Resources
 
 /**
- * Plans which machines to rent: packs the demand into the machines that exist or are requested, requests what is
- * missing, and records which machines the plan did not need. Owned by the owner thread; only the leader uses it.
+ * Plans which machines to rent: packs the demand into existing and requested machines, requests the missing ones, and
+ * records which machines are idle under the plan. Confined to the owner thread; only the leader uses it.
  */
 class ScaleOutPlanner(
     private val context: ControllerContext,
-    private val capacity: CapacityPlanner,
+    private val capacityPlanner: CapacityPlanner,
     private val scaleOut: ScaleOutReconciler,
-    private val boots: BootMonitor,
+    private val bootMonitor: BootMonitor,
     private val idleMachines: IdleMachines,
 ) {
-    /** How many more machines may be rented in each zone in one plan. */
+    /** Tracks how many more machines one plan may rent in each zone. */
     private inner class ZoneLimits {
         private val remaining = HashMap<String, Int>()
 
         fun remaining(zone: String): Int =
             remaining.getOrPut(zone) { context.zones?.rentableMachines(zone) ?: Int.MAX_VALUE }
 
-        fun use(zone: String, machines: Int) {
+        fun consume(zone: String, machines: Int) {
             remaining[zone] = remaining(zone) - machines
         }
     }
 
-    /** Makes one plan and carries it out. */
+    /** Computes a plan, records the idle machines and requests the new ones. */
     fun run() {
         val nowNs = context.nowNs
         val limits = ZoneLimits()
@@ -37,7 +37,7 @@
         for ((offer, wanted) in plan.newMachines) {
             val count = minOf(wanted, ScaleOutReconciler.MAX_PER_RENTAL, limits.remaining(offer.zone))
             if (count <= 0) continue
-            limits.use(offer.zone, count)
+            limits.consume(offer.zone, count)
             scaleOut.request(offer, count)
         }
     }
@@ -46,10 +46,10 @@
         val bins = bins()
         val filter = MachineKindFilter(context.scheduling.reservations::isUnreservedFor)
         val offers = OfferSelector(context.view.machineTypes, filter, zoneLoad()) { price(it, limits) }
-        return BinPacker(offers, filter, maxNewMachines()).pack(capacity.demands(), bins)
+        return BinPacker(offers, filter, maxNewMachines()).pack(capacityPlanner.demands(), bins)
     }
 
-    /** As many machines as the cloud's request rate allows to rent until the next plan. */
+    /** Returns how many machines the cloud's rate limit allows to rent until the next plan; at least one rental. */
     private fun maxNewMachines(): Int {
         val planIntervalS = context.settings.workers.heartbeatIntervalS * PLAN_INTERVAL_HEARTBEATS
         val rentable = context.settings.cloudRps * ScaleOutReconciler.MAX_PER_RENTAL * planIntervalS
@@ -62,7 +62,7 @@
         return if (offer.preemptible) machineType.spotPricePerHour else machineType.onDemandPricePerHour
     }
 
-    /** Machines per controller: a zone with one of three controllers gets a third of the machines. */
+    /** Returns the machines per controller: a zone with one of three controllers gets a third of the machines. */
     private fun zoneLoad(): ZoneLoad {
         val machines = context.view.machines.values.groupingBy { it.zone }.eachCount()
         val controllers = context.view.assignment?.members.orEmpty().groupingBy { it.zone }.eachCount()
@@ -72,9 +72,9 @@
     }
 
     /**
-     * The available resources of existing and requested machines. Spot machines come first, since each one used saves a
-     * machine that is still booting; within a kind those with the most images, so that spares are kept where tasks
-     * start soonest.
+     * Returns the free resources of existing and requested machines in packing order. Spot machines come first, since
+     * each one used saves the wait for another machine to boot. Within a kind, machines with the most cached images
+     * come first, so that the machines kept as spares are those on which tasks start soonest.
      */
     private fun bins(): List<Bin> {
         val bins = ArrayList<Bin>()
@@ -94,23 +94,23 @@
 
     private fun bin(machine: Machine): Bin? {
         if (!machine.takesWork || context.view.activeReservation(machine) != null) return null
-        if (context.zones?.isReachable(machine) == false || !isExpected(machine)) return null
+        if (context.zones?.isReachable(machine) == false || !isUpOrBooting(machine)) return null
         val free = freeWithoutBackfill(machine) ?: return null
         return Bin(machine.name, machine.machineType, machine.zone, machine.preemptible, free)
     }
 
-    /** Whether [machine] is up or still expected to boot; one that is overdue is replaced. */
-    private fun isExpected(machine: Machine): Boolean =
+    /** Whether [machine] is up or still booting; a machine with an overdue boot is replaced. */
+    private fun isUpOrBooting(machine: Machine): Boolean =
         when (context.view.machineStatus(machine.name)?.state ?: MachineHealth.UNSEEN) {
             MachineHealth.OK -> true
             MachineHealth.UNSEEN -> {
                 val machineType = context.view.machineTypes[machine.machineType]
-                machineType == null || boots.status(machine, machineType, context.nowMs) == BootStatus.BOOTING
+                machineType == null || bootMonitor.status(machine, machineType, context.nowMs) == BootStatus.BOOTING
             }
             else -> false
         }
 
-    /** The free resources of [machine] once the backfill tasks on it, which make way for other work, are gone. */
+    /** Returns the free resources of [machine] without its backfill tasks, which can be preempted. */
     private fun freeWithoutBackfill(machine: Machine): Resources? {
         val free = context.view.free(machine) ?: return null
         return context.view.jobsOn(machine.name).filter { isBackfill(it, machine) }.fold(free) { sum, job ->
@@ -134,7 +134,7 @@
         idleMachines.retain(view.machines.keys)
     }
 
-    /** While array tasks wait, machines that run backfill are worth their price. */
+    /** Whether array tasks are waiting; if so, machines that run backfill only are worth their price. */
     private fun hasArrayBacklog(): Boolean = context.view.jobs.values.any {
         !it.isGang && !it.cancelled && it.pendingCount > 0 && it.retryAtMs <= context.nowMs
     }
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
@@ -10,9 +10,9 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Scale out: takes each rental from its stored request over the cloud's answer to the records of its machines. A
- * request is stored before it is sent, so that a new leader repeats it under the same name. Owned by the owner thread;
- * only the leader uses it.
+ * Scales out: sends each stored rental to the cloud, and stores the machines that the cloud grants. A rental is stored
+ * before it is sent, so that a new leader repeats it under the same name. Confined to the owner thread; only the leader
+ * uses it.
  */
 class ScaleOutReconciler(
     private val context: ControllerContext,
@@ -22,33 +22,33 @@
     private val refusedOffers = RefusedOffers(context.settings.listLagS)
     private var requestCount = 0
 
-    /** When each rental may be sent again, by its name; [Long.MAX_VALUE] while an answer is awaited. */
+    /** When each rental may be sent again, by its name; [Long.MAX_VALUE] while its request is in flight. */
     private val nextRequestNs = HashMap<String, Long>()
 
-    /** The machines of each answered rental, until they are stored. */
-    private val answered = HashMap<String, List<String>>()
+    /** The granted machines by the name of the rental, until they are stored; empty for a refused rental. */
+    private val grantedMachines = HashMap<String, List<String>>()
 
-    /** Drops the state of the requests; called when this process is no longer leader. */
+    /** Discards the state of the requests; called when this process is no longer the leader. */
     fun reset() {
         nextRequestNs.clear()
-        answered.clear()
+        grantedMachines.clear()
     }
 
-    /** How many machines of [rental] have no record yet. */
+    /** Returns how many machines of [rental] have no record yet. */
     fun pendingMachines(rental: Rental): Int =
-        answered[rental.name]?.count { it !in context.view.machines } ?: rental.count
+        grantedMachines[rental.name]?.count { it !in context.view.machines } ?: rental.count
 
-    /** Whether the cloud has refused [offer] so recently that it is not requested again. */
+    /** Whether the cloud has refused [offer] so recently that its backoff has not expired. */
     fun isRefused(offer: Offer): Boolean = refusedOffers.isRefused(offer, context.nowNs)
 
-    /** Sends each stored rental until it has a clear answer, and stores the machines of the answered ones. */
+    /** Sends each stored rental until its outcome is known, and stores the granted machines. */
     fun run() {
         val rentals = context.view.rentals
         nextRequestNs.keys.retainAll(rentals.keys)
-        answered.keys.retainAll(rentals.keys)
+        grantedMachines.keys.retainAll(rentals.keys)
         for (rental in rentals.values.toList()) {
             if (context.transactions.isWritePending(StoreKeys.RENTAL + rental.name)) continue
-            if (rental.name in answered) {
+            if (rental.name in grantedMachines) {
                 storeMachines(rental)
                 continue
             }
@@ -61,7 +61,7 @@
 
     private fun onResponse(rental: Rental, response: RentalResponse) {
         log.info(
-            "event=rental_answered rental={} machine_type={} zone={} preemptible={} count={} result={}",
+            "event=rental_answered rental={} machine_type={} zone={} preemptible={} count={} outcome={}",
             rental.name,
             rental.machineType,
             rental.zone,
@@ -81,17 +81,17 @@
         } else {
             refusedOffers.remove(rental.offer)
         }
-        // With a clear answer the request is not repeated while its machines are being stored.
-        answered[rental.name] = machines
+        // The outcome is known, so the request is not repeated while its machines are being stored.
+        grantedMachines[rental.name] = machines
         if (context.leadership.isLeader()) context.view.rentals[rental.name]?.let(::storeMachines)
     }
 
     /**
-     * Stores the machines of an answered rental, as many as one transaction takes. The rental is deleted with the last
-     * of them, so that no machine is ever in neither record.
+     * Stores the granted machines of [rental], as many as fit into one transaction. The rental is deleted in the same
+     * transaction as the last of them, so that every machine is covered by one of the two records at any time.
      */
     private fun storeMachines(rental: Rental) {
-        val machineNames = answered[rental.name].orEmpty()
+        val machineNames = grantedMachines[rental.name].orEmpty()
         if (machineNames.any { context.transactions.isWritePending(StoreKeys.MACHINE + it) }) return
         val missing = machineNames.filter { it !in context.view.machines }
         val batchSize = context.transactions.budget.bulk(context.settings.stateLimits.txnOps - 1)
@@ -118,7 +118,7 @@
         version = 0uL,
     )
 
-    /** Stores a request for [count] machines of [offer]; nothing happens if the write budget is used up. */
+    /** Stores a rental of [count] machines of [offer]; does nothing if the write budget is exhausted. */
     fun request(offer: Offer, count: Int) {
         val rental = Rental(
             "${context.self.name}-${context.self.incarnation}-${++requestCount}",
@@ -147,10 +147,10 @@
     companion object {
         private val log = LoggerFactory.getLogger("flaxfield.fleet")
 
-        /** An unanswered request is repeated after this share of a heartbeat interval. */
+        /** A request whose outcome is unknown is repeated after this share of a heartbeat interval. */
         private const val RETRY_HEARTBEATS = 0.5
 
-        /** PROTOCOL-flaxfield.md: at most so many machines in one rental. */
+        /** PROTOCOL-flaxfield.md: the maximum number of machines in one rental. */
         const val MAX_PER_RENTAL = 50
     }
 }
--- a/src/main/kotlin/flaxfield/fleet/SpareCapacity.kt
+++ b/src/main/kotlin/flaxfield/fleet/SpareCapacity.kt
@@ -4,14 +4,14 @@
 import flaxfield.jobs.JobSpec
 import kotlin.math.ceil
 
-/** How fast tasks of a job class arrive, and its latest job as the pattern for the next ones. */
+/** The arrival rate of the tasks of a job class, and the spec of its latest job as the template for the next ones. */
 data class ArrivalRate(val latest: JobSpec, val tasksPerS: Double)
 
-/** Pure: the spare capacity (headroom) that is kept for jobs that have not arrived yet. */
+/** Pure: computes the spare capacity (headroom) for jobs that have not arrived yet. */
 object SpareCapacity {
     /**
-     * One demand for each class: as many tasks as arrive while a machine is provisioned, which takes [provisioningS],
-     * times the factor of its job kind. Arrays get spare capacity only on spot machines.
+     * Returns one demand per job class: the tasks that arrive within [provisioningS], the time to provision a machine,
+     * times the factor of the job kind. Arrays get spare capacity only on spot machines.
      */
     fun demands(
         rates: List<ArrivalRate>,
