--- a/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
@@ -11,18 +11,21 @@
 import flaxfield.workers.HeartbeatReconciler
 import flaxfield.workers.WorkerHealth
 
-/** Which machines of this controller's shard take array tasks now, and which of them suit a job. */
+/** Selects the machines of this controller's shard that accept array tasks now, and those suitable for a job. */
 class ArrayCandidates(
     private val context: ControllerContext,
     private val workerHealth: WorkerHealth,
     private val inFlight: InFlightPlacements,
 ) {
-    /** Whether the cluster had any spot machine when candidates were last listed. */
+    /** Whether the cluster had any spot machine when the candidates were last listed. */
     private var hasSpotMachines = false
     private var claimedTypes: Set<String> = emptySet()
     private var nextClaimedTypesNs = 0L
 
-    /** Our open machines with at least [minimum] free, less what placements in flight have taken. */
+    /**
+     * Returns the open machines of this shard with at least [minimum] free. The resources of placements in flight are
+     * subtracted.
+     */
     fun list(minimum: Resources): List<PlacementCandidate> {
         hasSpotMachines = context.view.machines.values.any { it.preemptible }
         val candidates = context.shards.ownedMachines().mapNotNull { candidate(it, minimum) }
@@ -54,11 +57,13 @@
         !context.transactions.isWritePending(StoreKeys.MACHINE + machine.name) &&
         workerHealth.state(machine.name) == MachineHealth.OK
 
-    /** Those of [candidates] that a task of [job] may be placed on now. */
+    /** Returns those of [candidates] that a task of [job] may be placed on now. */
     fun eligible(job: Job, candidates: List<PlacementCandidate>): List<PlacementCandidate> =
         candidates.filter { it.free.canHold(job.spec.taskResources) && isSuitable(job, it) }
 
-    /** Whether [job] may use a machine of the candidate's kind beside the jobs that such machines are reserved for. */
+    /**
+     * Whether [job] may use the candidate's machine type and kind (spot or on-demand), given the reservations for them.
+     */
     fun isSuitable(job: Job, candidate: PlacementCandidate): Boolean {
         val machine = candidate.machine
         val reservations = context.scheduling.reservations
@@ -71,8 +76,8 @@
     }
 
     /**
-     * Whether [job], which spot machines would do for, may use an on-demand one. Work of a class without an objective
-     * otherwise keeps on-demand machines in use that were scaled out for a burst.
+     * Whether [job], which may run on spot machines, may use an on-demand machine. Without this rule jobs of classes
+     * without an objective keep on-demand machines in use that were scaled out for a burst.
      */
     private fun mayUseOnDemand(job: Job): Boolean = !hasSpotMachines ||
         context.scheduling.hasObjective(job.spec.jobClass) ||
@@ -82,7 +87,7 @@
             begun = job.placedCount + job.doneCount > 0,
         )
 
-    /** Machine types of which waiting gangs will take every on-demand machine; counted anew now and then. */
+    /** Returns the types whose on-demand machines will all be taken by waiting gangs. Recomputed periodically. */
     private fun typesClaimedByGangs(): Set<String> {
         if (context.nowNs < nextClaimedTypesNs) return claimedTypes
         nextClaimedTypesNs =
@@ -108,7 +113,7 @@
     }
 
     private companion object {
-        /** How often waiting gangs are counted against on-demand machines, in heartbeat intervals. */
+        /** The time between two recomputations of the claimed machine types, in heartbeat intervals. */
         const val CLAIMED_TYPES_HEARTBEATS = 0.1
     }
 }
--- a/src/main/kotlin/flaxfield/arrays/ArrayPlacement.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayPlacement.kt
@@ -3,22 +3,22 @@
 import flaxfield.jobs.Job
 import flaxfield.jobs.JobSpec
 
-/** Pure: which machines of a shard take which tasks of an array. */
+/** Assigns the pending tasks of an array to machines of a shard. Pure functions. */
 object ArrayPlacement {
-    /** What one transaction holds: tasks, machines, and chunks of the job's records. */
+    /** The maximum number of tasks, machines and chunks of the job's records in one transaction. */
     data class Limits(val tasks: Int, val machines: Int = Int.MAX_VALUE, val chunks: Int = Int.MAX_VALUE)
 
     /**
-     * Places pending tasks of [job], starting with task [from], within [limits] and in the chunks that are [open], and
-     * takes their resources from the candidates. Returns the candidates by task index.
+     * Places pending tasks of [job], starting with [firstTask], within [limits] and only from the chunks for which
+     * [isChunkOpen] holds. Subtracts their resources from the candidates, and returns the candidates by task index.
      */
     fun place(
         job: Job,
         candidates: List<PlacementCandidate>,
         topology: TopologyConstraint,
-        from: Int,
+        firstTask: Int,
         limits: Limits,
-        open: (Int) -> Boolean = { true },
+        isChunkOpen: (Int) -> Boolean = { true },
     ): Map<Int, PlacementCandidate> {
         if (limits.tasks <= 0) return emptyMap()
         val spec = job.spec
@@ -26,9 +26,11 @@
         if (eligible.isEmpty()) return emptyMap()
         val placed = LinkedHashMap<Int, PlacementCandidate>()
         val chunks = HashSet<Int>()
-        val tasks = job.pending(from) { open(it) && (chunks.size < limits.chunks || it in chunks) }.iterator()
+        val tasks = job.pending(firstTask) {
+            isChunkOpen(it) && (chunks.size < limits.chunks || it in chunks)
+        }.iterator()
         for (candidate in eligible) {
-            while (placed.size < limits.tasks && holdsOneMore(candidate, spec, topology)) {
+            while (placed.size < limits.tasks && fitsOneMore(candidate, spec, topology)) {
                 if (!tasks.hasNext()) return placed
                 val task = tasks.next()
                 chunks += task / job.chunkTasks
@@ -41,12 +43,12 @@
         return placed
     }
 
-    private fun holdsOneMore(candidate: PlacementCandidate, spec: JobSpec, topology: TopologyConstraint): Boolean =
+    private fun fitsOneMore(candidate: PlacementCandidate, spec: JobSpec, topology: TopologyConstraint): Boolean =
         candidate.taskSlots > 0 &&
             candidate.free.canHold(spec.taskResources) &&
             topology.allows(candidate.machine.zone)
 
-    /** Spot machines first where the job may use them, then machines with its image, then the fullest. */
+    /** Prefers spot machines where the job may use them, then machines with its image, then the fullest. */
     private fun binPackingOrder(spec: JobSpec) = compareBy<PlacementCandidate> {
         if (spec.preemptible && !it.machine.preemptible) 1 else 0
     }
--- a/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayScheduler.kt
@@ -10,8 +10,8 @@
 import flaxfield.workers.WorkerHealth
 
 /**
- * The scheduling loop of one shard owner: publishes its machines' status, drains and evicts where that is asked for,
- * and places arrays on its own machines. Every controller that may act runs one, each on its own shard.
+ * The scheduling loop of one shard owner. It publishes the status of its machines, evicts tasks from draining and
+ * reserved machines, and places arrays on its machines. Every controller that may act runs one for its own shard.
  */
 class ArrayScheduler(private val context: ControllerContext, workerHealth: WorkerHealth, halts: HaltDispatcher) {
     private val summaries = ShardSummaryPublisher(context, workerHealth)
@@ -22,7 +22,7 @@
     private val taskPlacer = ArrayTaskPlacer(context, inFlight, turns)
     private val initialPlacer = InitialPlacer(context, arrayCandidates, inFlight)
 
-    /** What one scheduling cycle works on. */
+    /** The state of one scheduling cycle. */
     private class Cycle(
         val candidates: List<PlacementCandidate>,
         val usage: TeamUsage,
@@ -30,7 +30,7 @@
         val term: ULong,
     )
 
-    /** One scheduling cycle; does nothing on a controller that may not act. */
+    /** Runs one scheduling cycle. Does nothing on a controller that may not act. */
     fun run() {
         val term = context.leadership.term() ?: return
         if (!context.leadership.mayAct()) return
@@ -39,14 +39,14 @@
         schedule(term)
     }
 
-    /** Places a small job that is just being submitted; null if it must wait, see [InitialPlacer]. */
+    /** Places a small job that is being submitted. Returns null if it must wait, see [InitialPlacer]. */
     fun placeOnSubmission(job: Job): InitialPlacement? = initialPlacer.place(job)
 
     private fun schedule(term: ULong) {
-        inFlight.releaseSettled()
-        // Asked before the jobs are looked at: without write budget, sorting them would be in vain.
+        inFlight.removeCompleted()
+        // Checked before the jobs are sorted: without write budget no placement could be written.
         if (!context.transactions.mayWrite(WriteCause.ARRAY, 1)) return
-        val (waiting, underWay) = pendingArrays(context).partition {
+        val (waiting, beingWritten) = pendingArrays(context).partition {
             it.id !in inFlight && !context.transactions.isWritePending(StoreKeys.JOB + it.id)
         }
         turns.retain(waiting.mapTo(HashSet()) { it.id })
@@ -57,14 +57,15 @@
             context.view.machineTypes[it.machine.machineType]?.capacity ?: Resources.NONE
         }
         val cycle = Cycle(candidates, context.scheduling.teamUsage(), headOfLine, term)
-        val tierBarrier = context.zones?.tierBarrier(underWay)
+        val tierBarrier = context.zones?.tierBarrier(beingWritten)
         for (job in context.scheduling.schedulingOrder(waiting, cycle.usage)) {
             if (tierBarrier?.admits(job) == false) break
             if (!turns.isOurTurn(job)) {
                 tierBarrier?.holdBack(job)
                 continue
             }
-            // Later jobs are less urgent: none of them goes first for want of write budget.
+            // Stops at the first job that the write budget does not cover: later jobs are less urgent and must not
+            // overtake it.
             val writes = if (isQuotaLimited(context, job)) 2 else 1
             if (!context.transactions.mayWrite(WriteCause.ARRAY, writes)) break
             scheduleJob(job, cycle)
@@ -75,17 +76,17 @@
         val eligible = arrayCandidates.eligible(job, cycle.candidates)
             .filter { cycle.headOfLine.admits(job.spec, it) }
         val placed = if (eligible.isEmpty()) 0 else taskPlacer.place(job, eligible, cycle.usage, cycle.term)
-        val missing = minOf(job.pendingCount - placed, context.scheduling.admissibleTasks(job, cycle.usage))
-        // Keeps one place of the team's quota for a starved job without a machine: else it loses each place that comes
-        // free to the jobs after it.
+        val unplacedTasks = minOf(job.pendingCount - placed, context.scheduling.admissibleTasks(job, cycle.usage))
+        // Reserves quota for one task of a starved job that found no machine. Otherwise later jobs of its team take any
+        // quota that becomes free.
         if (placed == 0 && context.scheduling.isStarved(job)) cycle.usage.add(job.spec.team, job.spec.taskResources)
-        if (missing > 0 && !job.isSuspect) {
-            val ourShare = missing / (context.view.assignment?.members?.size ?: 1) + 1
-            cycle.headOfLine.reserve(job.spec, ourShare, cycle.candidates) { arrayCandidates.isSuitable(job, it) }
+        if (unplacedTasks > 0 && !job.isSuspect) {
+            val tasksForShard = unplacedTasks / (context.view.assignment?.members?.size ?: 1) + 1
+            cycle.headOfLine.reserve(job.spec, tasksForShard, cycle.candidates) { arrayCandidates.isSuitable(job, it) }
         }
     }
 
-    /** The least of each resource that any of [jobs] asks for: a machine with less free is of use to none of them. */
+    /** Returns the smallest request of [jobs] for each resource. A machine with less free can't run any of them. */
     private fun smallestRequest(jobs: List<Job>) = Resources(
         jobs.minOf { it.spec.taskResources.cpus },
         jobs.minOf { it.spec.taskResources.gpus },
@@ -93,11 +94,11 @@
     )
 }
 
-/** The arrays in the view with tasks that are due to be placed. */
+/** Returns the arrays in the view that have pending tasks and whose retry time has passed. */
 internal fun pendingArrays(context: ControllerContext): List<Job> = context.view.jobs.values.filter {
     !it.isGang && !it.cancelled && it.pendingCount > 0 && it.retryAtMs <= context.nowMs
 }
 
-/** Whether a placement of [job] must also bump its team's quota fence. */
+/** Whether the team of [job] has a limit, so that a placement must also update the team's quota fence. */
 internal fun isQuotaLimited(context: ControllerContext, job: Job): Boolean =
     context.settings.teams[job.spec.team]?.limited ?: false
--- a/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayTaskPlacer.kt
@@ -13,15 +13,15 @@
 import flaxfield.store.WriteCause
 import org.slf4j.LoggerFactory
 
-/** Places as many of an array's pending tasks as fit now, with one transaction. */
+/** Places as many of an array's pending tasks as fit now, in one transaction. */
 class ArrayTaskPlacer(
     private val context: ControllerContext,
     private val inFlight: InFlightPlacements,
     private val turns: ShardTurns,
 ) {
     /**
-     * Sends a placement of [job] on [candidates] and adds it to [usage]. Returns how many tasks it is of, those that
-     * must wait for the write budget included.
+     * Submits a placement of [job] on [candidates] and adds it to [usage]. Returns its number of tasks, even if it is
+     * deferred for lack of write budget.
      */
     fun place(job: Job, candidates: List<PlacementCandidate>, usage: TeamUsage, term: ULong): Int {
         val team = context.settings.teams[job.spec.team] ?: return 0
@@ -29,8 +29,8 @@
         val placement = findPlacement(job, candidates, usage)
         if (placement.isEmpty()) return 0
         usage.add(team.name, job.spec.taskResources * placement.size)
-        val isFewTasks = placement.size < minOf(JobTransactions.BULK_TASKS, job.pendingCount)
-        val cause = if (isFewTasks) WriteCause.TRICKLE else WriteCause.ARRAY
+        val isSmallPlacement = placement.size < minOf(JobTransactions.BULK_TASKS, job.pendingCount)
+        val cause = if (isSmallPlacement) WriteCause.TRICKLE else WriteCause.ARRAY
         if (context.transactions.mayWrite(cause, if (team.limited) 2 else 1)) {
             send(job, placement, team, cause, term)
         } else {
@@ -75,17 +75,17 @@
         )
     }
 
-    /** How soon a machine for [job] is up once it is requested from the cloud. */
+    /** Returns the shortest boot time of the machine types that may run [job], in seconds. */
     private fun bootTimeS(job: Job): Double = context.view.machineTypes.values
         .filter { JobAdmission.allowed(job.spec, it) }
         .minOfOrNull { it.bootTimeS } ?: 0.0
 
     private fun send(job: Job, placement: Map<Int, PlacementCandidate>, team: Team, cause: WriteCause, term: ULong) {
-        val next = job.place(placement.mapValues { (_, candidate) -> candidate.target() })
-        val base = JobTransactions.update(job, next, term)
+        val placedJob = job.place(placement.mapValues { (_, candidate) -> candidate.target() })
+        val base = JobTransactions.update(job, placedJob, term)
         val transaction = withFences(base, job, placement, team)
         val sent = context.transactions.submit(cause, transaction) { outcome ->
-            logOutcome(next, placement, term, outcome)
+            logOutcome(placedJob, placement, term, outcome)
         }
         if (sent) {
             inFlight.add(
@@ -97,7 +97,10 @@
         }
     }
 
-    /** [base] on condition that the machines' records are unchanged, and the team's quota fence, which it bumps. */
+    /**
+     * Returns [base] with the condition that the machines' records are unchanged. If the team has a limit, also
+     * requires its quota fence to be unchanged, and updates the fence.
+     */
     private fun withFences(
         base: Transaction,
         job: Job,
@@ -114,22 +117,22 @@
     }
 
     private fun logOutcome(
-        next: Job,
+        placedJob: Job,
         placement: Map<Int, PlacementCandidate>,
         term: ULong,
         outcome: TransactionOutcome,
     ) {
         if (outcome !is TransactionOutcome.Committed) {
-            log.debug("event=placement_failed term={} job={} outcome={}", term, next.id, outcome)
+            log.debug("event=placement_failed term={} job={} outcome={}", term, placedJob.id, outcome)
             return
         }
         for ((task, candidate) in placement) {
             log.info(
                 "event=task_placed term={} job={} task={} attempt={} machine={}",
                 term,
-                next.id,
+                placedJob.id,
                 task,
-                next.placed(task)?.attempt,
+                placedJob.placed(task)?.attempt,
                 candidate.machine.name,
             )
         }
@@ -138,17 +141,22 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.arrays")
 
-        /** Bounds the work of one decision; the rest follows in the next one. */
+        /** Bounds the duration of one scheduling cycle. The remaining tasks are placed in the next one. */
         const val MAX_TASKS_PER_PLACEMENT = 256
 
-        /** Each machine is a condition of the transaction, which may have four times as many of these as changes. */
+        /**
+         * Each machine adds a condition to the transaction, which may have four times as many conditions as changes.
+         */
         const val MAX_MACHINES_PER_PLACEMENT = 64
 
-        /** A job that repeatedly fails is tried with so many tasks at a time, not with the whole array each time. */
+        /**
+         * The maximum number of concurrent tasks of a job that repeatedly fails, to retry it without starting the whole
+         * array.
+         */
         const val MAX_SUSPECT_TASKS = 2
     }
 }
 
-/** The conditions that the candidates' machine records are as the view has them. */
+/** Returns the conditions that the candidates' machine records still have the versions in the view. */
 internal fun machineVersions(candidates: Collection<PlacementCandidate>): Map<String, ULong> =
     candidates.distinct().associate { StoreKeys.MACHINE + it.machine.name to it.machine.version }
--- a/src/main/kotlin/flaxfield/arrays/GangCapacityReservation.kt
+++ b/src/main/kotlin/flaxfield/arrays/GangCapacityReservation.kt
@@ -7,28 +7,29 @@
 import flaxfield.jobs.Resources
 
 /**
- * Capacity that arrays leave to other jobs, in two forms: on-demand machines of types that jobs without spot capacity
- * asked for lately, and the part of a team's quota that its gangs need. Without it, arrays on the only on-demand
- * machines make gangs wait or evict them. Owned by the owner thread; [update] brings it up to date with the view.
+ * Reserves capacity that arrays must not use, in two forms. On-demand machines are reserved by machine type for jobs
+ * that can't run on spot machines and recently requested such a type. A part of each team's quota is reserved for its
+ * gangs. Without these, arrays occupy the only on-demand machines, and gangs must wait or evict them. Confined to the
+ * owner thread; [update] applies the current view.
  */
 class GangCapacityReservation {
-    /** Until when the on-demand machines of a type are reserved, by its label, in wall-clock milliseconds. */
+    /** The expiry of the reservation of on-demand machines, by machine type label, in wall-clock milliseconds. */
     private val reservedUntilMs = HashMap<String, Long>()
 
-    /** Each team's gang that was submitted last. */
+    /** The gang that each team submitted last, by team name. */
     private val latestGangs = HashMap<String, Job>()
     private var waitingGangs: Map<String, List<Job>> = emptyMap()
 
-    /** Tasks of waiting gangs that need on-demand machines, by the machine types that may run them. */
+    /** The number of tasks of waiting gangs that need on-demand machines, by label of each type that may run them. */
     private var waitingTasks: Map<String, Int> = emptyMap()
 
-    /** Whether any gang waits for on-demand machines. */
+    /** Whether any gang is waiting for on-demand machines. */
     val hasWaitingGangs: Boolean get() = waitingTasks.values.any { it > 0 }
 
-    /** Takes in the jobs of the view; what they asked for stays reserved for [keepMs]. */
-    fun update(jobs: Collection<Job>, machineTypes: Collection<MachineType>, nowMs: Long, keepMs: Long) {
-        reserveMachineTypes(jobs, machineTypes, nowMs, keepMs)
-        updateLatestGangs(jobs, nowMs - keepMs)
+    /** Applies the jobs of the view. The capacity that they request stays reserved for [retentionMs]. */
+    fun update(jobs: Collection<Job>, machineTypes: Collection<MachineType>, nowMs: Long, retentionMs: Long) {
+        reserveMachineTypes(jobs, machineTypes, nowMs, retentionMs)
+        updateLatestGangs(jobs, nowMs - retentionMs)
         val waiting = jobs.filter { it.isGang && !it.cancelled && it.placedCount == 0 && !it.isSuspect }
         waitingGangs = waiting.groupBy { it.spec.team }
         waitingTasks = machineTypes.associate { type ->
@@ -41,29 +42,29 @@
         jobs: Collection<Job>,
         machineTypes: Collection<MachineType>,
         nowMs: Long,
-        keepMs: Long,
+        retentionMs: Long,
     ) {
         for (job in jobs) {
             if (job.spec.preemptible) continue
             for (type in machineTypes) {
-                if (JobAdmission.allowed(job.spec, type)) reservedUntilMs[type.label] = nowMs + keepMs
+                if (JobAdmission.allowed(job.spec, type)) reservedUntilMs[type.label] = nowMs + retentionMs
             }
         }
         reservedUntilMs.values.removeIf { it < nowMs }
     }
 
-    private fun updateLatestGangs(jobs: Collection<Job>, forgetBeforeMs: Long) {
+    private fun updateLatestGangs(jobs: Collection<Job>, expireBeforeMs: Long) {
         for (job in jobs) {
             if (!job.isGang) continue
             val latestMs = latestGangs[job.spec.team]?.submittedMs ?: 0L
             if (latestMs < job.submittedMs) latestGangs[job.spec.team] = job
         }
-        latestGangs.values.removeIf { it.submittedMs < forgetBeforeMs }
+        latestGangs.values.removeIf { it.submittedMs < expireBeforeMs }
     }
 
     /**
-     * Whether waiting gangs will take every one of the [openMachines] on-demand machines of this type that run no gang.
-     * Arrays that backfill such machines are evicted moments later, and each gang starts as much later.
+     * Whether waiting gangs will take all [openMachines], the on-demand machines of this type that run no gang. Arrays
+     * that backfill such machines are soon evicted again, and the evictions delay the gangs.
      */
     fun isClaimedByWaitingGangs(machineType: String, openMachines: Int): Boolean {
         val tasks = waitingTasks[machineType] ?: 0
@@ -71,15 +72,16 @@
     }
 
     /**
-     * The part of the team's quota that its arrays leave free: what its waiting gangs need, else what its latest gang
-     * needed, for the next one. Arrays that fill the quota would keep the team's gangs waiting.
+     * Returns the part of the team's quota that is reserved for its gangs: the demand of its waiting gangs, or else
+     * that of its latest gang, in anticipation of the next one. Otherwise its arrays could use up the quota and block
+     * its gangs.
      */
     fun reservedQuota(team: String): Resources {
         if (team in waitingGangs) return waitingGangQuota(team, Long.MAX_VALUE)
         return latestGangs[team]?.let(::totalResources) ?: Resources.NONE
     }
 
-    /** What the team's waiting gangs submitted before [beforeMs] need in all. */
+    /** Returns the total demand of the team's waiting gangs that were submitted before [beforeMs]. */
     fun waitingGangQuota(team: String, beforeMs: Long): Resources =
         waitingGangs[team].orEmpty().fold(Resources.NONE) { sum, gang ->
             if (gang.submittedMs < beforeMs) sum + totalResources(gang) else sum
@@ -88,17 +90,17 @@
     private fun totalResources(gang: Job) = gang.spec.taskResources * gang.spec.taskCount
 
     /**
-     * Whether machines of this kind are open to tasks of [spec] without reserve: spot machines always are, on-demand
-     * machines of a reserved type only to jobs that can use no other.
+     * Whether tasks of [spec] may use machines of this type and kind despite the reservations. They may always use spot
+     * machines, and on-demand machines of a reserved type only if they can't run on spot machines.
      */
     fun isUnreservedFor(spec: JobSpec, machineType: String, preemptible: Boolean): Boolean =
         preemptible || !spec.preemptible || machineType !in reservedUntilMs
 
-    /** Whether tasks of [spec] are backfill on a machine of this kind: there only until it is needed or returned. */
+    /** Whether tasks of [spec] are backfill on such a machine: they are evicted when it is needed or returned. */
     fun isBackfill(spec: JobSpec, machineType: String, preemptible: Boolean): Boolean =
         spec.checkpointIntervalS > 0.0 && !isUnreservedFor(spec, machineType, preemptible)
 
-    /** Whether tasks of [spec] may run on such a machine while it is free: with checkpoints they are cheap to evict. */
+    /** Whether tasks of [spec] may backfill such a machine. Tasks with checkpoints may, as they are cheap to evict. */
     fun mayBackfill(spec: JobSpec, machineType: String, preemptible: Boolean): Boolean =
         spec.checkpointIntervalS > 0.0 || isUnreservedFor(spec, machineType, preemptible)
 }
--- a/src/main/kotlin/flaxfield/arrays/HeadOfLineReservations.kt
+++ b/src/main/kotlin/flaxfield/arrays/HeadOfLineReservations.kt
@@ -4,36 +4,36 @@
 import flaxfield.jobs.Resources
 
 /**
- * Machines kept free of much smaller tasks while a job that precedes them waits for resources. Without it, each place
- * that comes free is too small for that job and is filled again at once. Made anew for each scheduling cycle;
- * [capacityOf] tells what a machine holds when it is empty.
+ * Reserves machines for a job at the head of the queue that waits for resources. Much smaller tasks are not admitted to
+ * them. Without a reservation, smaller tasks take any resources that become free before they suffice for that job.
+ * Created for each scheduling cycle. [capacityOf] returns the resources of an empty machine.
  */
 class HeadOfLineReservations(private val capacityOf: (PlacementCandidate) -> Resources) {
-    private val holders = HashMap<String, JobSpec>()
+    private val reservedFor = HashMap<String, JobSpec>()
 
-    /** Whether a task of [spec] may go to [candidate]: it is not reserved, or only for tasks of about its size. */
+    /** Whether a task of [spec] may be placed on [candidate]: it is not reserved, or is for tasks of similar size. */
     fun admits(spec: JobSpec, candidate: PlacementCandidate): Boolean {
-        val holder = holders[candidate.machine.name] ?: return true
-        return !isMuchSmaller(spec, holder)
+        val reservedSpec = reservedFor[candidate.machine.name] ?: return true
+        return !isMuchSmaller(spec, reservedSpec)
     }
 
     /**
-     * Reserves machines for [tasks] of [spec]: those with the most resources free, as many as hold the tasks once they
-     * are empty, among those that are [suitable].
+     * Reserves machines for [tasks] tasks of [spec], among those for which [isSuitable] holds. Takes those with the
+     * most free resources first, and as many as can hold the tasks once they are empty.
      */
     fun reserve(
         spec: JobSpec,
         tasks: Int,
         candidates: List<PlacementCandidate>,
-        suitable: (PlacementCandidate) -> Boolean,
+        isSuitable: (PlacementCandidate) -> Boolean,
     ) {
         val eligible = candidates.filter {
-            it.machine.name !in holders && TopologyConstraint.allowsMachine(spec, it.machine) && suitable(it)
+            it.machine.name !in reservedFor && TopologyConstraint.allowsMachine(spec, it.machine) && isSuitable(it)
         }
         var remaining = tasks
         for (candidate in eligible.sortedWith(MOST_FREE_FIRST)) {
             if (remaining <= 0) return
-            holders[candidate.machine.name] = spec
+            reservedFor[candidate.machine.name] = spec
             remaining -= capacityOf(candidate).countFitting(spec.taskResources).coerceAtLeast(1)
         }
     }
--- a/src/main/kotlin/flaxfield/arrays/InFlightPlacements.kt
+++ b/src/main/kotlin/flaxfield/arrays/InFlightPlacements.kt
@@ -4,9 +4,9 @@
 import flaxfield.jobs.Resources
 
 /**
- * Placements that were sent and that the view does not show yet. Their resources are taken from the candidates of later
- * attempts: else the next job is placed on the same resources and its tasks are refused by the worker. Owned by the
- * owner thread.
+ * Tracks placements that were submitted but are not in the view yet. Their resources are subtracted from the candidates
+ * of later attempts. Otherwise the next job is placed on the same resources, and the worker rejects its tasks. Confined
+ * to the owner thread.
  */
 class InFlightPlacements(private val transactions: TransactionSubmitter) {
     private class Placement(val keys: List<String>, val machineNames: List<String>, val resourcesPerTask: Resources)
@@ -16,17 +16,17 @@
     /** Whether a placement of the job is in flight. */
     operator fun contains(jobId: String): Boolean = jobId in byJob
 
-    /** Notes a placement that changes [keys], with one machine name for each task of [resourcesPerTask]. */
+    /** Adds a placement that writes [keys], with one machine name for each task of [resourcesPerTask]. */
     fun add(jobId: String, keys: List<String>, machineNames: List<String>, resourcesPerTask: Resources) {
         byJob[jobId] = Placement(keys, machineNames, resourcesPerTask)
     }
 
-    /** Drops the placements that the view shows now. */
-    fun releaseSettled() {
+    /** Removes the placements whose keys have no pending writes any more. */
+    fun removeCompleted() {
         byJob.values.removeIf { placement -> placement.keys.none(transactions::isWritePending) }
     }
 
-    /** Takes from [candidates] what the placements in flight use. */
+    /** Subtracts the resources and task slots of the placements in flight from [candidates]. */
     fun assumeOn(candidates: List<PlacementCandidate>) {
         if (byJob.isEmpty()) return
         val byMachine = candidates.associateBy { it.machine.name }
--- a/src/main/kotlin/flaxfield/arrays/InitialPlacement.kt
+++ b/src/main/kotlin/flaxfield/arrays/InitialPlacement.kt
@@ -5,18 +5,18 @@
 import flaxfield.jobs.JobTransactions
 import flaxfield.store.StoreKeys
 
-/** A job as it is submitted, with its tasks placed, and the conditions that this rests on. */
+/** A submitted job with its tasks placed, and the conditions under which the placement is valid. */
 class InitialPlacement(val job: Job, val conditions: Map<String, ULong>)
 
-/** Places small arrays while they are being submitted, so that one transaction accepts and places the job. */
+/** Places small arrays during submission, so that a single transaction accepts and places the job. */
 class InitialPlacer(
     private val context: ControllerContext,
     private val arrayCandidates: ArrayCandidates,
     private val inFlight: InFlightPlacements,
 ) {
     /**
-     * The placement of all tasks of [job], or null if it must wait: because no job that waits already, on whichever
-     * shard, may be overtaken, or because it is too large, does not fit, or is bound by its team's quota.
+     * Returns a placement of all tasks of [job], or null if it must wait. It waits if another pending job, on any
+     * shard, precedes it, if it is too large or does not fit, or if its team has a limit.
      */
     fun place(job: Job): InitialPlacement? {
         val term = context.leadership.term() ?: return null
@@ -28,7 +28,7 @@
         val eligible = arrayCandidates.eligible(job, arrayCandidates.list(job.spec.taskResources))
         val limits = ArrayPlacement.Limits(context.scheduling.admissibleTasks(job, usage))
         val topology = TopologyConstraint(job.spec, emptyList())
-        val placement = ArrayPlacement.place(job, eligible, topology, from = 0, limits)
+        val placement = ArrayPlacement.place(job, eligible, topology, firstTask = 0, limits)
         if (placement.size < job.spec.taskCount) return null
         val placed = job.place(placement.mapValues { (_, candidate) -> candidate.target() })
         val machineNames = placement.values.map { it.machine.name }
@@ -38,7 +38,7 @@
     }
 
     private companion object {
-        /** A job of at most so many tasks may be placed by the transaction that accepts it. */
+        /** The maximum number of tasks of a job that the accepting transaction may also place. */
         const val MAX_TASKS = 4
     }
 }
--- a/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineDrainer.kt
@@ -10,17 +10,17 @@
 import flaxfield.workers.HaltDispatcher
 
 /**
- * Evicts arrays from machines of this controller's shard: from those that are to be returned, and from those that the
- * leader has reserved for gangs that may preempt.
+ * Evicts array tasks from machines of this controller's shard: from draining machines, which will be returned to the
+ * cloud, and from machines that the leader has reserved for a gang with eviction.
  */
 class MachineDrainer(private val context: ControllerContext, private val halts: HaltDispatcher) {
-    /** Sends the halts that are due under [term]. */
+    /** Halts the tasks to be evicted under [term]. */
     fun run(term: ULong) {
-        drainReturning(term)
+        evictFromDraining(term)
         evictForGangs(term)
     }
 
-    private fun drainReturning(term: ULong) {
+    private fun evictFromDraining(term: ULong) {
         for (machine in context.shards.ownedMachines()) {
             if (machine.phase != MachinePhase.DRAINING) continue
             val tasks = context.view.on(machine.name).filter { !it.placed.stopping && !it.job.isGang }
@@ -42,7 +42,10 @@
         }
     }
 
-    /** The fewest tasks in [EvictionOrder] whose end lets [tasks] of [gang] fit, as far as it may preempt them. */
+    /**
+     * Returns the tasks to preempt so that [tasks] tasks of [gang] fit: as few as needed, in [EvictionOrder], among
+     * those that the gang may preempt.
+     */
     private fun selectVictims(
         machine: Machine,
         gang: Job,
@@ -76,8 +79,8 @@
 }
 
 /**
- * Which task is evicted first: of the lowest priority, then one that saves checkpoints, then of the latest job. A task
- * without checkpoints starts over after each eviction, while one with them loses little.
+ * Orders tasks for eviction: by lowest priority, then those that save checkpoints, then those of the latest job. A task
+ * without checkpoints starts over after an eviction, while one with checkpoints loses little work.
  */
 object EvictionOrder : Comparator<PlacedTask> {
     private val order = compareBy<PlacedTask>(
--- a/src/main/kotlin/flaxfield/arrays/MachineStatus.kt
+++ b/src/main/kotlin/flaxfield/arrays/MachineStatus.kt
@@ -1,23 +1,23 @@
 package flaxfield.arrays
 
-/** A machine's health as its shard owner judges it. Stored by ordinal: the order of the constants is fixed. */
+/** A machine's health as determined by its shard owner. Stored by ordinal: the order of the constants is fixed. */
 enum class MachineHealth {
-    /** Known from its record; its worker has not sent this owner a heartbeat yet. */
+    /** It has a record, but this owner has not received a heartbeat from its worker yet. */
     UNSEEN,
 
-    /** Its heartbeats arrive. */
+    /** Its heartbeats arrive as expected. */
     OK,
 
-    /** Its heartbeats have stopped. */
+    /** It is unreachable: its heartbeats have stopped. */
     SILENT,
 
-    /** It fails the tasks that it starts. */
+    /** Tasks that start on it fail because of the machine. */
     FAULTY,
 
     /** The cloud has given notice of its termination. */
     NOTICE,
 
-    /** A task failed on it, and it is not yet known whether the machine or the job is to blame. */
+    /** A task failed on it, and it is not known yet whether the machine or the job caused the failure. */
     SUSPECT,
 }
 
@@ -25,8 +25,8 @@
 data class MachineStatus(
     val state: MachineHealth,
     val incarnation: ULong,
-    /** Where the worker's agent is reached, as host and port. */
+    /** The address of the worker's agent, as host and port. */
     val address: String,
-    /** Images that it likely holds, the most recently used last. */
+    /** The images that are likely cached on it, the most recently used last. */
     val images: List<String>,
 )
--- a/src/main/kotlin/flaxfield/arrays/PlacementCandidate.kt
+++ b/src/main/kotlin/flaxfield/arrays/PlacementCandidate.kt
@@ -5,29 +5,29 @@
 import flaxfield.jobs.Resources
 
 /**
- * A machine as one placement attempt sees it. [free] and [taskSlots] shrink as the attempt assumes tasks on it, so a
- * candidate belongs to the scheduler that made it and must not be kept beyond one scheduling cycle.
+ * A machine as a candidate of placement attempts. [free] and [taskSlots] shrink as an attempt assumes tasks on it, so a
+ * candidate must only be used by the scheduler that created it, and within one scheduling cycle.
  */
 class PlacementCandidate(
     val machine: Machine,
     /** The agent incarnation that a placement on this machine is bound to. */
     val incarnation: ULong,
-    /** Resources that are neither taken by a task record nor assumed by this attempt. */
+    /** The resources that are neither used by a task record nor assumed by an attempt. */
     var free: Resources,
-    /** Images that the machine likely holds. */
+    /** The images that are likely cached on the machine. */
     val images: Collection<String>,
-    /** Whether no task record was on the machine when the candidate was made. */
+    /** Whether the machine had no task records when the candidate was created. */
     val isEmpty: Boolean,
-    /** How many more tasks fit into one heartbeat of this machine. */
+    /** The number of further tasks that the machine's heartbeat can report. */
     var taskSlots: Int = Int.MAX_VALUE,
 ) {
-    /** The same machine for an attempt with assumptions of its own. */
+    /** Returns a copy for an attempt that assumes tasks independently. */
     fun copy() = PlacementCandidate(machine, incarnation, free, images, isEmpty, taskSlots)
 
-    /** What a task that is placed here is bound to. */
+    /** Returns the machine and agent incarnation that a task placed here is bound to. */
     fun target() = Job.Target(machine.name, incarnation)
 
-    /** Whether one more task of [job] may run here and fits into what is free. */
+    /** Whether one more task of [job] may run on the machine and fits into its free resources. */
     fun fits(job: Job): Boolean = TopologyConstraint.allowsMachine(job.spec, machine) &&
         machine.name !in job.failedMachines &&
         free.canHold(job.spec.taskResources)
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryCodec.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryCodec.kt
@@ -4,14 +4,17 @@
 import flaxfield.zones.HeartbeatCoverage
 import flaxfield.zones.ZoneCoverage
 
-/** The stored form of [ShardSummary]. Rows are lists, to save space; health and coverage are stored by ordinal. */
+/**
+ * Encodes and decodes the stored form of [ShardSummary]. Rows are lists to save space; health and coverage are stored
+ * by ordinal.
+ */
 object ShardSummaryCodec {
-    /** The stored form of [summary]; zones are left out where it has none. */
+    /** Encodes [summary]. Omits the zones if it has no zone coverage. */
     fun encode(summary: ShardSummary): Map<String, Any?> {
         val fields = mapOf("term" to summary.term, "hosts" to summary.machines.map(::machineRow))
         val zoneCoverage = summary.zoneCoverage ?: return fields
         return fields + mapOf(
-            "zones" to zoneCoverage.map { (zone, heard) -> listOf(zone, heard.expected, heard.coverage.ordinal) },
+            "zones" to zoneCoverage.map { (zone, report) -> listOf(zone, report.expected, report.coverage.ordinal) },
         )
     }
 
@@ -20,7 +23,7 @@
         return listOf(name, status.state.ordinal, status.incarnation, status.address, status.images)
     }
 
-    /** Reads a stored summary; throws on a value that is none. */
+    /** Decodes a stored summary. Throws if [fields] are not a valid summary. */
     fun decode(fields: FieldMap): ShardSummary = ShardSummary(
         fields.requireUnsigned("term"),
         fields.list("hosts").orEmpty().associate { row ->
--- a/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardSummaryPublisher.kt
@@ -13,18 +13,18 @@
 
 /**
  * Publishes the status of this controller's machines to the leader, in pages. A page is written when a machine's state
- * or incarnation changes, and for its images alone less often. Owned by the owner thread.
+ * or incarnation changes, and less often if only images have changed. Confined to the owner thread.
  */
 class ShardSummaryPublisher(private val context: ControllerContext, private val workerHealth: WorkerHealth) {
     private var pages = 1
     private var publishedTerm: ULong? = null
 
-    /** What was written last under [publishedTerm], by page. */
+    /** The summaries last written under [publishedTerm], by page. */
     private val published = HashMap<Int, ShardSummary>()
     private var nextSummaryNs = 0L
     private var nextImagesNs = 0L
 
-    /** Writes the pages that have changed, unless the last time was too recent. */
+    /** Writes the pages that have changed, unless the last run was too recent. */
     fun run(term: ULong) {
         if (context.nowNs < nextSummaryNs) return
         nextSummaryNs = afterHeartbeats(SUMMARY_HEARTBEATS)
@@ -33,15 +33,15 @@
             published.clear()
         }
         val statuses = statusesByPage()
-        val withImages = context.nowNs >= nextImagesNs
-        if (withImages) nextImagesNs = afterHeartbeats(IMAGES_HEARTBEATS)
-        // The last page first: when pages split, rows appear in their new page before they leave the old one.
+        val isImageUpdateDue = context.nowNs >= nextImagesNs
+        if (isImageUpdateDue) nextImagesNs = afterHeartbeats(IMAGES_HEARTBEATS)
+        // Last page first: when pages split, rows are added to their new page before they are removed from the old one.
         for (page in statuses.indices.reversed()) {
-            val before = published[page]
-            val now = ShardSummary(term, statuses[page], if (page == 0) zoneCoverage(before) else null)
-            if (now == before) continue
-            val isUrgent = before == null || !haveSameStates(before, now)
-            if (isUrgent || withImages) write(page, now, isUrgent)
+            val previous = published[page]
+            val current = ShardSummary(term, statuses[page], if (page == 0) zoneCoverage(previous) else null)
+            if (current == previous) continue
+            val isUrgent = previous == null || !haveSameStates(previous, current)
+            if (isUrgent || isImageUpdateDue) write(page, current, isUrgent)
         }
     }
 
@@ -60,24 +60,24 @@
     }
 
     /**
-     * The heartbeats that arrive from each zone. A count is kept as it was [before] where the difference does not
-     * matter: each would be a write.
+     * Returns the heartbeat coverage by zone. Keeps the [previous] value of a zone if the new one is equivalent, to
+     * save a write.
      */
-    private fun zoneCoverage(before: ShardSummary?): Map<String, ZoneCoverage>? {
+    private fun zoneCoverage(previous: ShardSummary?): Map<String, ZoneCoverage>? {
         if (context.zones == null) return null
-        return workerHealth.zoneCoverage().mapValues { (zone, now) ->
-            before?.zoneCoverage?.get(zone)?.takeIf { it.isEquivalentTo(now) } ?: now
+        return workerHealth.zoneCoverage().mapValues { (zone, current) ->
+            previous?.zoneCoverage?.get(zone)?.takeIf { it.isEquivalentTo(current) } ?: current
         }
     }
 
-    /** Whether the two differ in images and addresses at most. */
-    private fun haveSameStates(before: ShardSummary, now: ShardSummary): Boolean =
-        before.zoneCoverage == now.zoneCoverage &&
-            before.machines.size == now.machines.size &&
-            now.machines.all { (name, status) -> hasSameState(before.machines[name], status) }
+    /** Whether the summaries differ at most in images and addresses. */
+    private fun haveSameStates(previous: ShardSummary, current: ShardSummary): Boolean =
+        previous.zoneCoverage == current.zoneCoverage &&
+            previous.machines.size == current.machines.size &&
+            current.machines.all { (name, status) -> hasSameState(previous.machines[name], status) }
 
-    private fun hasSameState(before: MachineStatus?, now: MachineStatus): Boolean =
-        before != null && before.state == now.state && before.incarnation == now.incarnation
+    private fun hasSameState(previous: MachineStatus?, current: MachineStatus): Boolean =
+        previous != null && previous.state == current.state && previous.incarnation == current.incarnation
 
     private fun write(page: Int, summary: ShardSummary, isUrgent: Boolean) {
         val key = StoreKeys.shardSummary(context.self.name, page)
@@ -94,10 +94,10 @@
     }
 
     private companion object {
-        /** Pages are written at most this often, in heartbeat intervals. */
+        /** The minimum time between two runs that write pages, in heartbeat intervals. */
         const val SUMMARY_HEARTBEATS = 0.4
 
-        /** Images alone are written at most this often, in heartbeat intervals. */
+        /** The minimum time between two writes of pages of which only images have changed, in heartbeat intervals. */
         const val IMAGES_HEARTBEATS = 1.5
     }
 }
--- a/src/main/kotlin/flaxfield/arrays/ShardTurns.kt
+++ b/src/main/kotlin/flaxfield/arrays/ShardTurns.kt
@@ -5,20 +5,20 @@
 import flaxfield.jobs.Job
 
 /**
- * Turn-taking between shard owners. All of them may place the same job, and of concurrent writes of one record all but
- * one fail: so they start with a new job one after another, in an order that depends on the job, and with different
- * tasks of it. Owned by the owner thread.
+ * Staggers the placements of one job by several shard owners. With optimistic concurrency only one of several
+ * concurrent writes of a record commits. So shard owners start to place a new job one after another, in an order that
+ * depends on the job, and each starts with a different task. Confined to the owner thread.
  */
 class ShardTurns(private val context: ControllerContext) {
-    /** When a waiting job was first seen to wait, by id. */
+    /** The monotonic time at which a job was first seen waiting, by job id. */
     private val waitingSinceNs = HashMap<String, Long>()
 
-    /** Forgets the jobs that are not among [ids]. */
+    /** Removes the jobs that are not among [ids]. */
     fun retain(ids: Set<String>) {
         waitingSinceNs.keys.retainAll(ids)
     }
 
-    /** Whether this controller may place [job] now; asks for a decision at the time when it may. */
+    /** Whether this controller may place [job] now. If not, requests a scheduling cycle for the time when it may. */
     fun isOurTurn(job: Job): Boolean {
         val sinceNs = waitingSinceNs.getOrPut(job.id) { context.nowNs }
         val members = sortedMembers().orEmpty()
@@ -30,7 +30,7 @@
         return false
     }
 
-    /** The task index of [job] that this controller starts with. */
+    /** Returns the index of the task of [job] that this controller places first. */
     fun firstTask(job: Job): Int {
         val members = sortedMembers() ?: return 0
         val index = members.indexOf(context.self.name).coerceAtLeast(0)
@@ -40,7 +40,7 @@
     private fun sortedMembers(): List<String>? = context.view.assignment?.members?.map { it.name }?.sorted()
 
     private companion object {
-        /** The time between two turns, in heartbeat intervals: a write, and its arrival in the others' views. */
+        /** The time between two turns, in heartbeat intervals. Covers a write and its arrival in the other views. */
         const val TURN_HEARTBEATS = 0.06
     }
 }
--- a/src/main/kotlin/flaxfield/arrays/TopologyConstraint.kt
+++ b/src/main/kotlin/flaxfield/arrays/TopologyConstraint.kt
@@ -4,8 +4,8 @@
 import flaxfield.jobs.JobSpec
 
 /**
- * The zone rules of one job: a fixed zone, all tasks in one zone, or tasks spread over zones. [placedZones] are the
- * zones of the tasks that are placed already, one entry a task; [add] keeps the count as more are placed.
+ * The zone constraints of one job: a fixed zone, all tasks in one zone, or tasks spread over zones. [placedZones] are
+ * the zones of the tasks that are already placed, one entry per task. [add] counts each further task.
  */
 class TopologyConstraint(private val spec: JobSpec, placedZones: List<String>) {
     private val tasksByZone = HashMap<String, Int>()
@@ -15,7 +15,7 @@
         for (zone in placedZones) add(zone)
     }
 
-    /** Whether one more task may go to [zone]. */
+    /** Whether one more task may be placed in [zone]. */
     fun allows(zone: String): Boolean = when {
         spec.zone != null && spec.zone != zone -> false
         spec.sameZone && tasksByZone.keys.any { it != zone } -> false
@@ -29,13 +29,13 @@
     }
 
     companion object {
-        /** Whether machines of this type, zone and kind may run tasks of [spec] at all. */
+        /** Whether machines of this type, zone and kind may run tasks of [spec], regardless of free resources. */
         fun allowsMachineKind(spec: JobSpec, machineType: String, zone: String, preemptible: Boolean): Boolean =
             (spec.machineTypes == null || machineType in spec.machineTypes) &&
                 (spec.zone == null || spec.zone == zone) &&
                 (!preemptible || spec.preemptible)
 
-        /** Whether [machine] may run tasks of [spec] at all, whatever is on it now. */
+        /** Whether [machine] may run tasks of [spec], regardless of its free resources. */
         fun allowsMachine(spec: JobSpec, machine: Machine): Boolean =
             allowsMachineKind(spec, machine.machineType, machine.zone, machine.preemptible)
     }
--- a/src/main/kotlin/flaxfield/gangs/GangBackoffQueue.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangBackoffQueue.kt
@@ -5,30 +5,30 @@
 import flaxfield.jobs.Job
 import org.slf4j.LoggerFactory
 
-/** Why a gang can't start now, in the form of its log line's `reason` and the keys after it. */
+/** The reason why a gang can't start now. Its string form is the `reason` of a log line, and further keys if any. */
 sealed class GangBackoffReason(private val logFields: String) {
-    /** Its team's quota has no place for all members. */
+    /** The remaining quota of its team does not admit all members. */
     object TeamQuota : GangBackoffReason("team_quota")
 
-    /** No machines hold all members, even after preemption. */
+    /** The machines can't hold all members, even after preemption. */
     class Infeasible(result: GangPlacementResult.Infeasible) :
-        GangBackoffReason("infeasible assumed=${result.assumed} left=${result.left}")
+        GangBackoffReason("infeasible assumed=${result.assumed} untried=${result.untriedTasks}")
 
-    /** Machines with its image are likely to come free in time. */
+    /** Its image must be fetched, but machines that have it cached are likely to become free in time. */
     class ImageNotCached(image: String) : GangBackoffReason("image_not_cached image=$image")
 
-    /** What was reserved for it is no longer free, or did not become so in time. */
-    object ReservedCapacityGone : GangBackoffReason("reserved_capacity_gone")
+    /** The capacity that was reserved for it is no longer available, or did not become available in time. */
+    object ReservedCapacityUnavailable : GangBackoffReason("reserved_capacity_gone")
 
-    /** It needs more changes than one transaction may hold. */
+    /** Its reservation or placement needs more changes than one transaction may hold. */
     object TransactionTooLarge : GangBackoffReason("transaction_too_large")
 
     override fun toString(): String = logFields
 }
 
 /**
- * Gangs whose last attempt failed, each with an exponential backoff. More free capacity makes all of them due at once.
- * Owned by the leader's owner thread; not stored.
+ * Tracks the gangs whose last attempt failed, each with an exponential backoff. When more capacity becomes free, all
+ * of them become due at once. Confined to the leader's owner thread; not stored.
  */
 class GangBackoffQueue(private val context: ControllerContext) {
     private class Backoff(val untilNs: Long, val attempts: Int)
@@ -36,23 +36,24 @@
     private val backoffs = HashMap<String, Backoff>()
     private var nextCheckNs = 0L
 
-    /** How many tasks of the waiting shapes there was capacity for at the last check. */
+    /** The number of tasks of the waiting shapes that the free capacity could hold at the last check. */
     private var lastFreeTasks = 0
 
-    /** Forgets all backoffs. */
+    /** Removes all backoffs. */
     fun clear() = backoffs.clear()
 
-    /** Forgets the gangs that are not among [ids]. */
+    /** Removes the backoffs of gangs that are not among [ids]. */
     fun retain(ids: Set<String>) {
         backoffs.keys.retainAll(ids)
     }
 
-    /** Whether [gang] is not due yet. */
+    /** Whether the backoff of [gang] has not expired yet. */
     fun isBackingOff(gang: Job): Boolean = backoffs[gang.id]?.let { context.nowNs < it.untilNs } ?: false
 
     /**
-     * Whether any of [waiting] is new or due. At each check more capacity than at the last makes all of them due; it is
-     * counted in tasks of the waiting shapes by [countFreeTasks], since a place that fits none of them helps none.
+     * Whether any of [waiting] is new or due. If a check finds more free capacity than the one before it, all of them
+     * become due. [countFreeTasks] counts that capacity in tasks of the waiting shapes, so that resources too small for
+     * any of them don't count.
      */
     fun isAnyDue(waiting: List<Job>, countFreeTasks: () -> Int): Boolean {
         val isAnyNew = waiting.any { it.id !in backoffs }
@@ -62,13 +63,13 @@
         return isAnyNew || waiting.any { gang -> backoffs[gang.id]?.let { context.nowNs >= it.untilNs } ?: false }
     }
 
-    /** Sets when gangs that back off are looked at again, all of them together. */
+    /** Schedules the next check of the free capacity, which is common to all gangs that back off. */
     fun scheduleNextCheck() {
         nextCheckNs =
             context.nowNs + (context.settings.workers.heartbeatIntervalS * CHECK_HEARTBEATS * NANOS_PER_SECOND).toLong()
     }
 
-    /** Puts [gang] off, twice as long as the last time. */
+    /** Starts a backoff of [gang], twice as long as its last one, up to a maximum. */
     fun backOff(gang: Job, reason: GangBackoffReason) {
         val attempts = (backoffs[gang.id]?.attempts ?: 0) + 1
         val waitS = context.settings.workers.heartbeatIntervalS * INITIAL_BACKOFF_HEARTBEATS *
@@ -91,9 +92,11 @@
 
         /** The first backoff, in heartbeat intervals. */
         const val INITIAL_BACKOFF_HEARTBEATS = 0.25
+
+        /** The number of attempts after which the backoff stops growing. */
         const val MAX_DOUBLINGS = 4
 
-        /** How often backed-off gangs are looked at, in heartbeat intervals. */
+        /** The time between two checks of the free capacity, in heartbeat intervals. */
         const val CHECK_HEARTBEATS = 0.15
     }
 }
--- a/src/main/kotlin/flaxfield/gangs/GangCandidates.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangCandidates.kt
@@ -11,9 +11,9 @@
 import flaxfield.jobs.Resources
 import flaxfield.store.StoreKeys
 
-/** Which machines of the whole cluster gangs may be placed on, as the leader's view has them. */
+/** Selects the machines of the whole cluster that gangs may be placed on, according to the leader's view. */
 class GangCandidates(private val context: ControllerContext) {
-    /** What decides on which machines a gang may run and how many of its tasks fit there. */
+    /** The properties of a gang that determine which machines may run it and how many of its tasks fit there. */
     private data class Shape(
         val taskResources: Resources,
         val machineTypes: Set<String>?,
@@ -21,11 +21,11 @@
         val preemptible: Boolean,
     )
 
-    /** One specification for each different shape among [gangs]. */
+    /** Returns one specification for each distinct shape among [gangs]. */
     fun distinctShapes(gangs: List<Job>): List<JobSpec> = gangs.map { it.spec }
         .distinctBy { Shape(it.taskResources, it.machineTypes, it.zone, it.preemptible) }
 
-    /** The machines that a gang of one of [shapes] could run on now, or once others are preempted. */
+    /** Returns the machines that a gang of one of [shapes] could use now, or once other tasks are preempted. */
     fun forShapes(shapes: List<JobSpec>): List<PlacementCandidate> =
         context.view.machines.values.mapNotNull { machine ->
             if (shapes.none { TopologyConstraint.allowsMachine(it, machine) }) return@mapNotNull null
@@ -35,7 +35,7 @@
             }
         }
 
-    /** How many tasks of [shapes] fit into what is free now. */
+    /** Returns the number of tasks of each of [shapes] that fit into the free resources, summed over all shapes. */
     fun countFreeTasks(shapes: List<JobSpec>): Int {
         var count = 0
         for (machine in context.view.machines.values) {
@@ -47,7 +47,7 @@
         return count
     }
 
-    /** Those of [machines] that are reserved for a gang and can still run it. */
+    /** Returns those of [machines], all reserved for one gang, that can still run it. */
     fun fromReserved(machines: List<Machine>): List<PlacementCandidate> = machines.mapNotNull { machine ->
         val status = healthyStatus(machine.name) ?: return@mapNotNull null
         if (machine.takesWork && acceptsPlacements(machine)) candidate(machine, status) else null
@@ -75,7 +75,10 @@
         return PlacementCandidate(machine, status.incarnation, free, status.images, isEmpty)
     }
 
-    /** Whether anything on the machine may leave or be preempted; most machines run only gangs, which are not. */
+    /**
+     * Whether any task on the machine is terminating or may be preempted. Most machines run only gangs, which are never
+     * preempted.
+     */
     private fun mayBeEvicted(machineName: String): Boolean =
         context.view.jobsOn(machineName).any { !it.isGang || it.cancelled || it.id in context.view.halting }
 }
--- a/src/main/kotlin/flaxfield/gangs/GangPlacement.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangPlacement.kt
@@ -7,9 +7,9 @@
 
 /** The outcome of one placement attempt for one gang. */
 sealed interface GangPlacementResult {
-    /** Every member has a machine, by task index; their resources are taken from the candidates. */
+    /** Every member has a machine. [candidates], by task index, have the members' resources subtracted. */
     data class Feasible(val candidates: Map<Int, PlacementCandidate>) : GangPlacementResult {
-        /** Whether all machines hold the image of [spec]. */
+        /** Whether all machines have the image of [spec] cached. */
         fun hasImage(spec: JobSpec): Boolean = candidates.values.all { spec.image in it.images }
 
         /** Returns the assumed resources of [spec]'s tasks to the candidates. */
@@ -18,21 +18,25 @@
         }
     }
 
-    /** The minimum can't be reached; all assumed resources have been returned. [left] tasks were not tried. */
-    data class Infeasible(val assumed: Int, val left: Int) : GangPlacementResult
+    /**
+     * The minimum number of members can't be placed. The attempt assumed machines for [assumed] tasks, has returned
+     * their resources, and did not try [untriedTasks] further tasks.
+     */
+    data class Infeasible(val assumed: Int, val untriedTasks: Int) : GangPlacementResult
 }
 
-/** Pure: all-or-nothing placement of a gang, with an early stop. */
+/** Places a gang all-or-nothing, and stops an attempt as soon as it can no longer succeed. Pure functions. */
 object GangPlacement {
-    /** Whether the record lists at least the minimum count of members. */
+    /** Whether the number of [listed] members reaches the minimum of [job]. */
     fun hasAllMembers(job: Job, listed: Int = job.spec.taskCount): Boolean = listed >= minMembers(job)
 
-    /** How many members must be placed at once. */
+    /** Returns the number of members that must be placed at once. */
     fun minMembers(job: Job): Int = job.spec.taskCount
 
     /**
-     * Assumes a machine for each task in turn and stops once tasks left plus tasks assumed fall below the minimum.
-     * For a gang bound to one zone each zone is tried: those with its image first, then those with most candidates.
+     * Assumes a machine for each task in turn, and stops once the assumed plus the untried tasks are fewer than the
+     * minimum. For a gang bound to one zone, tries the zones one by one: first those with a machine that has its image,
+     * then those with the most candidates.
      */
     fun place(job: Job, candidates: List<PlacementCandidate>): GangPlacementResult {
         val spec = job.spec
@@ -53,8 +57,8 @@
     private fun placeWithin(job: Job, eligible: List<PlacementCandidate>): GangPlacementResult {
         val spec = job.spec
         val minimum = minMembers(job)
-        // Stops before the first task where the free resources alone tell that the minimum is out of reach; with a
-        // spread over zones they don't.
+        // Stops before the first task if the free resources alone show that the minimum can't be reached. They don't
+        // determine the result for a gang that is spread over zones.
         val fitting = eligible.sumOf { minOf(it.free.countFitting(spec.taskResources), spec.taskCount) }
         if (fitting < minimum && !spec.spreadAcrossZones) {
             return GangPlacementResult.Infeasible(fitting, minimum - fitting - 1)
@@ -71,16 +75,16 @@
                 topology.add(candidate.machine.zone)
                 assumed[task] = candidate
             }
-            val left = spec.taskCount - task - 1
-            if (left + assumed.size < minimum) {
+            val untriedTasks = spec.taskCount - task - 1
+            if (untriedTasks + assumed.size < minimum) {
                 for (taken in assumed.values) taken.free += spec.taskResources
-                return GangPlacementResult.Infeasible(assumed.size, left)
+                return GangPlacementResult.Infeasible(assumed.size, untriedTasks)
             }
         }
         return GangPlacementResult.Feasible(assumed)
     }
 
-    /** Machines with the image first, then empty ones, then spot machines where allowed, then the fullest. */
+    /** Prefers machines with the image, then empty machines, then spot machines where allowed, then the fullest. */
     private fun preferenceOrder(spec: JobSpec) = compareBy<PlacementCandidate> { if (spec.image in it.images) 0 else 1 }
         .thenBy { if (it.isEmpty) 0 else 1 }
         .thenBy { if (spec.preemptible && !it.machine.preemptible) 1 else 0 }
--- a/src/main/kotlin/flaxfield/gangs/GangReservations.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangReservations.kt
@@ -18,30 +18,31 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Machines reserved for gangs: first written to the machines' records, then, once their owners have evicted, either
- * committed as the gang's placement or released. One transaction each; a gang is placed whole or not at all.
+ * Reserves machines for gangs in two phases. The first transaction writes a reservation to the machines' records. Once
+ * the shard owners have evicted other tasks, a second one commits the gang's placement or releases the machines. Each
+ * is a single transaction, so that a gang is placed all-or-nothing.
  */
 class GangReservations(
     private val context: ControllerContext,
     private val candidates: GangCandidates,
     private val backoff: GangBackoffQueue,
 ) {
-    /** When a gang's reservation was first seen in the view, on the monotonic clock. */
+    /** The monotonic time at which a gang's reservation was first seen in the view, by gang id. */
     private val reservedSinceNs = HashMap<String, Long>()
 
     /**
-     * Machines whose reservation is being written, by gang: another attempt meanwhile would reserve, and evict from,
-     * other machines as well.
+     * The machines whose reservation is being written, by gang id. A concurrent attempt for the same gang would reserve
+     * further machines and evict tasks from them.
      */
     private val inFlight = HashMap<String, List<String>>()
 
-    /** Forgets everything, when another controller leads. */
+    /** Removes all state, since this controller is no longer the leader. */
     fun clear() {
         reservedSinceNs.clear()
         inFlight.clear()
     }
 
-    /** The machines with a valid reservation, by the gang that it is for. */
+    /** Returns the machines with an active reservation, by the id of the gang that they are reserved for. */
     fun activeByGang(): Map<String, List<Machine>> {
         val view = context.view
         val machines = view.reservedMachines.mapNotNull { view.machines[it] }.filter {
@@ -53,22 +54,22 @@
         return byGang
     }
 
-    /** Whether a reservation for the gang is being written. */
+    /** Whether a write of the gang's reservation is in flight. */
     fun isInFlight(gangId: String): Boolean = gangId in inFlight
 
-    /** Drops the marks of reservations that the view shows now. */
-    fun releaseSettled() {
+    /** Removes the in-flight reservations whose machine records have no pending writes any more. */
+    fun removeCompleted() {
         inFlight.values.removeIf { names -> names.none(::isMachineWritePending) }
     }
 
-    /** Writes a reservation of the machines of [placement] for [gang]; backs off if one transaction can't hold it. */
+    /** Writes a reservation of [placement]'s machines for [gang]. Backs off if it is too large for one transaction. */
     fun reserve(gang: Job, placement: GangPlacementResult.Feasible, evict: Boolean, cycle: GangSchedulingCycle) {
         val tasksByMachine = placement.candidates.values.groupingBy { it.machine }.eachCount()
         if (tasksByMachine.size > context.settings.stateLimits.txnOps) {
             return backoff.backOff(gang, GangBackoffReason.TransactionTooLarge)
         }
         val names = tasksByMachine.keys.map { it.name }
-        val transaction = reservationOf(gang, tasksByMachine, evict, cycle.term)
+        val transaction = reservationTransaction(gang, tasksByMachine, evict, cycle.term)
         val sent = context.transactions.submit(WriteCause.GANG, transaction) { outcome ->
             log.info(
                 "event=gang_reserved term={} job={} machines={} evict={} outcome={}",
@@ -88,7 +89,7 @@
         }
     }
 
-    private fun reservationOf(gang: Job, tasks: Map<Machine, Int>, evict: Boolean, term: ULong): Transaction {
+    private fun reservationTransaction(gang: Job, tasks: Map<Machine, Int>, evict: Boolean, term: ULong): Transaction {
         val conditions = HashMap(JobTransactions.assignmentFence(context))
         val changes = tasks.map { (machine, count) ->
             conditions[StoreKeys.MACHINE + machine.name] = machine.version
@@ -99,8 +100,8 @@
     }
 
     /**
-     * Commits the gang on its reserved [machines] if it fits there now; releases them if it can't, or if preempted
-     * tasks have not left in time.
+     * Commits the gang's placement on its reserved [machines] if it fits there now. Releases them if it can never fit,
+     * or if the preempted tasks have not terminated in time.
      */
     fun complete(gangId: String, machines: List<Machine>, usage: TeamUsage, term: ULong) {
         if (machines.any { isMachineWritePending(it.name) } ||
@@ -110,16 +111,16 @@
         }
         val gang = context.view.jobs[gangId]
         if (gang == null || !context.transactions.mayWrite(WriteCause.GANG, 1)) return
-        val sinceNs = reservedSinceNs.getOrPut(gangId) { context.nowNs }
+        val reservedAtNs = reservedSinceNs.getOrPut(gangId) { context.nowNs }
         val usable = candidates.fromReserved(machines)
         val result = GangPlacement.place(gang, usable)
         if (result is GangPlacementResult.Feasible) return commit(gang, result.candidates, machines, usage, term)
         val heartbeatIntervalS = context.settings.workers.heartbeatIntervalS
         val timeoutNs =
             (heartbeatIntervalS * EVICTION_HEARTBEATS + gang.spec.checkpointDurationS) * NANOS_PER_SECOND
-        val isHopeless = usable.size < machines.size || machines.none { it.reservation?.evict == true }
-        if (isHopeless || context.nowNs - sinceNs > timeoutNs) {
-            releaseAndBackOff(gang, machines, GangBackoffReason.ReservedCapacityGone)
+        val cannotFit = usable.size < machines.size || machines.none { it.reservation?.evict == true }
+        if (cannotFit || context.nowNs - reservedAtNs > timeoutNs) {
+            releaseAndBackOff(gang, machines, GangBackoffReason.ReservedCapacityUnavailable)
         }
     }
 
@@ -137,7 +138,7 @@
         if (team.limited && context.transactions.isWritePending(StoreKeys.QUOTA_FENCE + team.name)) return
         val attempt = gang.nextGangAttempt()
         val targets = placement.mapValues { (_, candidate) -> candidate.target() }
-        val transaction = commitOf(gang, gang.place(targets, attempt), machines, team, term)
+        val transaction = placementTransaction(gang, gang.place(targets, attempt), machines, team, term)
         if (transaction.changes.size > context.settings.stateLimits.txnOps) {
             return releaseAndBackOff(gang, machines, GangBackoffReason.TransactionTooLarge)
         }
@@ -147,11 +148,17 @@
         }
     }
 
-    private fun commitOf(gang: Job, placed: Job, machines: List<Machine>, team: Team, term: ULong): Transaction {
+    private fun placementTransaction(
+        gang: Job,
+        placed: Job,
+        machines: List<Machine>,
+        team: Team,
+        term: ULong,
+    ): Transaction {
         val base = JobTransactions.update(gang, placed, term)
         val conditions = HashMap(base.conditions)
         val changes = ArrayList(base.changes)
-        // A reservation is void once its attempt is placed: the machines' records need no write of their own.
+        // Placing the attempt invalidates its reservation, so that the machines' records need not be rewritten.
         for (machine in machines) conditions[StoreKeys.MACHINE + machine.name] = machine.version
         if (team.limited) {
             val fenceKey = StoreKeys.QUOTA_FENCE + team.name
@@ -202,7 +209,7 @@
     companion object {
         private val log = LoggerFactory.getLogger("flaxfield.gangs")
 
-        /** How long preempted tasks may take to leave a reserved machine, in heartbeat intervals. */
+        /** The time that preempted tasks get to terminate on a reserved machine, in heartbeat intervals. */
         const val EVICTION_HEARTBEATS = 4.0
     }
 }
--- a/src/main/kotlin/flaxfield/gangs/GangScheduler.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangScheduler.kt
@@ -6,8 +6,8 @@
 import flaxfield.store.WriteCause
 
 /**
- * The leader's scheduling loop for gangs. Each run completes the reservations that the view shows, then attempts to
- * place the gangs that wait, in the scheduling order, and writes new reservations.
+ * The leader's scheduling loop for gangs. Each run commits or releases the reservations in the view. It then attempts
+ * to place the waiting gangs in scheduling order, and writes new reservations for them.
  */
 class GangScheduler(private val context: ControllerContext) {
     private val backoff = GangBackoffQueue(context)
@@ -15,7 +15,7 @@
     private val feasibility = GangFeasibility(context)
     private val reservations = GangReservations(context, candidates, backoff)
 
-    /** One scheduling cycle; does nothing on a controller that does not lead. */
+    /** Runs one scheduling cycle. On a controller that is not the leader, only clears the state of an earlier term. */
     fun run() {
         if (!context.leadership.isLeader()) {
             backoff.clear()
@@ -29,8 +29,8 @@
         val usage = context.scheduling.teamUsage()
         val guaranteed = context.scheduling.guaranteed()
         for ((gangId, machines) in reserved) reservations.complete(gangId, machines, usage, term)
-        reservations.releaseSettled()
-        // Asked before the gangs are looked at: without write budget every attempt would be in vain.
+        reservations.removeCompleted()
+        // Checked before any gang is considered: without write budget no attempt could be written.
         if (!context.transactions.mayWrite(WriteCause.GANG, 1)) return
         val waiting = gangs.filter { it.id !in reserved && isWaiting(it) }
         backoff.retain(waiting.mapTo(HashSet()) { it.id })
@@ -41,7 +41,7 @@
         schedule(waiting, GangSchedulingCycle(context, candidates.forShapes(shapes), usage, guaranteed, term))
     }
 
-    /** Whether [gang] waits for machines, and no write of it is under way. */
+    /** Whether [gang] waits for machines and has no write in flight. */
     private fun isWaiting(gang: Job): Boolean = gang.placedCount == 0 &&
         !gang.complete &&
         !gang.cancelled &&
@@ -50,26 +50,28 @@
         !context.transactions.isWritePending(StoreKeys.JOB + gang.id) &&
         GangPlacement.hasAllMembers(gang)
 
-    /** Attempts to place [waiting] in their order, the gang that machines are reserved for first. */
+    /** Attempts to place [waiting] in scheduling order, preceded by the large gang that machines are reserved for. */
     private fun schedule(waiting: List<Job>, cycle: GangSchedulingCycle) {
         val overdueBeforeMs = LargeGangReservation.overdueBeforeMs(context.nowMs)
         val largeGang = LargeGangReservation.selectGang(waiting, overdueBeforeMs)
-        val quotaBound = largeGang?.takeIf {
+        val quotaBlocked = largeGang?.takeIf {
             cycle.usage.remainingTasks(it.spec.team, it.spec.taskResources) < it.spec.taskCount
         }
         val ordered = context.scheduling.schedulingOrder(waiting, cycle.usage)
         for (gang in LargeGangReservation.withReservedFirst(largeGang, ordered)) {
-            if (quotaBound != null && leavesQuotaTo(gang, quotaBound)) continue
+            if (quotaBlocked != null && yieldsQuotaTo(gang, quotaBlocked)) continue
             if (!backoff.isBackingOff(gang) && cycle.attempts < MAX_ATTEMPTS_PER_CYCLE) attempt(gang, cycle)
-            // A gang that only its team's quota holds back has no use for the machines.
-            val isReservedFor = gang === largeGang && gang !== quotaBound && !reservations.isInFlight(gang.id)
-            if (isReservedFor) cycle.reserveFor(gang)
+            // A gang that waits only for its team's quota can't use reserved machines.
+            val reservesMachines = gang === largeGang && gang !== quotaBlocked && !reservations.isInFlight(gang.id)
+            if (reservesMachines) cycle.reserveFor(gang)
         }
     }
 
-    /** A starved gang no longer waits behind one that may not come within its team's quota for long. */
-    private fun leavesQuotaTo(gang: Job, quotaBound: Job): Boolean =
-        !context.scheduling.isStarved(gang) && LargeGangReservation.leavesQuotaTo(gang, quotaBound)
+    /**
+     * Whether [gang] waits for [quotaBlocked]. A starved gang never does, since the quota may stay exhausted for long.
+     */
+    private fun yieldsQuotaTo(gang: Job, quotaBlocked: Job): Boolean =
+        !context.scheduling.isStarved(gang) && LargeGangReservation.yieldsQuotaTo(gang, quotaBlocked)
 
     private fun attempt(gang: Job, cycle: GangSchedulingCycle) {
         when (val decision = feasibility.decide(gang, cycle)) {
@@ -79,7 +81,9 @@
     }
 
     private companion object {
-        /** Bounds one cycle: a team's many large gangs must not take the leader's whole turn. */
+        /**
+         * Bounds the duration of one cycle, so that many large gangs of one team don't block the leader's owner thread.
+         */
         const val MAX_ATTEMPTS_PER_CYCLE = 16
     }
 }
--- a/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
@@ -11,21 +11,21 @@
 import flaxfield.quota.JobOrder
 import flaxfield.quota.TeamUsage
 
-/** A machine with its status from its owner's shard summary. */
+/** A machine and its status in its owner's shard summary. */
 data class ObservedMachine(val machine: Machine, val status: MachineStatus)
 
-/** What decides whose tasks a gang may preempt: gangs of one scope see the same machines after eviction. */
+/** The properties that determine whose tasks a gang may preempt. Gangs of equal scope may preempt the same tasks. */
 data class PreemptionScope(
     val priority: Priority,
     val guaranteed: Boolean,
-    /** The gang's team if it is within that team's guarantee, else empty. */
+    /** The gang's team if the gang is within that team's guarantee, else empty. */
     val team: String,
     val isSuspect: Boolean,
 )
 
 /**
- * The state of one run of the gang scheduler: the machines that are still open to gangs, the teams' usage with what
- * the run has added to it, and what it has found infeasible. Used for one run only.
+ * The state of one run of the gang scheduler: the machines still available to gangs, the teams' usage including the
+ * gangs placed in this run, and the shapes found infeasible. Not reused by later runs.
  */
 class GangSchedulingCycle(
     private val context: ControllerContext,
@@ -35,12 +35,12 @@
     val term: ULong,
 ) {
     private val infeasible = InfeasibleShapes()
-    private val evictableByScope = HashMap<PreemptionScope, Map<String, Resources>>()
+    private val reclaimableByScope = HashMap<PreemptionScope, Map<String, Resources>>()
 
-    /** How many placement attempts this run has made. */
+    /** The number of placement attempts in this run. */
     val attempts: Int get() = infeasible.attempts
 
-    /** Machines that run gangs now. */
+    /** The healthy machines that run gangs now. */
     val machinesWithGangs: List<ObservedMachine> by lazy(LazyThreadSafetyMode.NONE) {
         val view = context.view
         view.machines.values.filter { machine -> machine.takesWork && view.jobsOn(machine.name).any { it.isGang } }
@@ -50,27 +50,27 @@
             }
     }
 
-    /** Places [job] on what is free now. */
-    fun placeOnFree(job: Job): GangPlacementResult = infeasible.place(job, null) { candidates }
+    /** Places [job] on the resources that are free now. */
+    fun placeOnFreeResources(job: Job): GangPlacementResult = infeasible.place(job, null) { candidates }
 
-    /** Places [job] on what would be free once the tasks that it may preempt have left. */
+    /** Places [job] on the resources that are free once all tasks that it may preempt have terminated. */
     fun placeAfterEviction(job: Job): GangPlacementResult =
         infeasible.place(job, scopeOf(job)) { candidatesAfterEviction(job) }
 
-    /** Takes machines out of this run: a machine carries one reservation at a time. */
+    /** Removes machines from the candidates of this run, since a machine has at most one reservation at a time. */
     fun exclude(machineNames: Set<String>) {
         candidates = candidates.filter { it.machine.name !in machineNames }
     }
 
-    /** Leaves the machines that [job] will use to it, for the rest of this run. */
+    /** Excludes the machines that [job] will use from placements of other gangs, for the rest of this run. */
     fun reserveFor(job: Job) {
         candidates = LargeGangReservation.withoutReserved(job, candidates, candidatesAfterEviction(job))
     }
 
     private fun candidatesAfterEviction(job: Job): List<PlacementCandidate> {
-        val evictable = evictableByScope.getOrPut(scopeOf(job)) { evictableResources(job) }
+        val reclaimable = reclaimableByScope.getOrPut(scopeOf(job)) { reclaimableResources(job) }
         return candidates.map { candidate ->
-            evictable[candidate.machine.name]?.let { candidate.withFree(candidate.free + it) } ?: candidate.copy()
+            reclaimable[candidate.machine.name]?.let { candidate.withFree(candidate.free + it) } ?: candidate.copy()
         }
     }
 
@@ -87,15 +87,18 @@
         )
     }
 
-    /** What [job] may free on each candidate by preemption, with what is to leave anyway, by machine name. */
-    private fun evictableResources(job: Job): Map<String, Resources> {
+    /**
+     * Returns the resources that [job] can reclaim on each candidate, by machine name: those of the tasks that it may
+     * preempt and of the tasks that are terminating anyway.
+     */
+    private fun reclaimableResources(job: Job): Map<String, Resources> {
         val isGuaranteed = job.id in guaranteed
         val result = HashMap<String, Resources>()
         for (candidate in candidates) {
             val machineName = candidate.machine.name
             var resources = Resources.NONE
             for (other in context.view.jobsOn(machineName)) {
-                val tasks = countLeaving(job, isGuaranteed, other, machineName)
+                val tasks = countReclaimableTasks(job, isGuaranteed, other, machineName)
                 if (tasks > 0) resources += other.spec.taskResources * tasks
             }
             if (resources !== Resources.NONE) result[machineName] = resources
@@ -103,7 +106,7 @@
         return result
     }
 
-    private fun countLeaving(job: Job, isGuaranteed: Boolean, other: Job, machineName: String): Int {
+    private fun countReclaimableTasks(job: Job, isGuaranteed: Boolean, other: Job, machineName: String): Int {
         val view = context.view
         return when {
             other.cancelled || mayEvict(job, isGuaranteed, other) -> view.countOn(machineName, other.id)
--- a/src/main/kotlin/flaxfield/gangs/ImageLocality.kt
+++ b/src/main/kotlin/flaxfield/gangs/ImageLocality.kt
@@ -5,11 +5,12 @@
 import flaxfield.controller.ControllerContext
 import flaxfield.jobs.Job
 
-/** Pure: whether a gang is better off waiting for a machine with its image than fetching the image elsewhere. */
+/** Decides whether a gang waits for machines that have its image rather than fetch it elsewhere. Pure functions. */
 object ImageLocalityDelay {
     /**
-     * True if a start with the fetch would miss the tightest of [objectivesS] anyway, there is time left to meet it
-     * without, and enough machines with the image are in use: [busyMachines] for [competingTasks] that want one.
+     * Returns true if all of the following hold: a start that fetches the image misses the tightest of [objectivesS], a
+     * start without the fetch can still meet it, and enough machines with the image are in use. [busyMachines] is the
+     * number of these machines, and [competingTasks] the number of tasks that wait for one.
      */
     fun shouldDelay(
         ageS: Double,
@@ -24,16 +25,16 @@
             busyMachines >= competingTasks * BUSY_MACHINES_PER_TASK
     }
 
-    /** After this fraction of the objective the gang takes what there is. */
+    /** After this fraction of the objective the gang takes machines without its image. */
     private const val MAX_DELAY_FRACTION = 0.9
 
-    /** Of this many machines in use one is likely free again in time. */
+    /** Of this many machines in use, one is likely to become free in time. */
     private const val BUSY_MACHINES_PER_TASK = 2
 }
 
-/** Judges gang placements on machines without the job's image by the cluster view. */
+/** Evaluates gang placements on machines that don't have the job's image, based on the cluster view. */
 class ImageLocality(private val context: ControllerContext) {
-    /** Whether fetching the image takes longer than preempted tasks take to save and leave. */
+    /** Whether fetching the image takes longer than preempted tasks take to save a checkpoint and terminate. */
     fun isFetchSlow(job: Job, placement: GangPlacementResult.Feasible): Boolean = fetchTimeS(job, placement) >
         context.settings.workers.heartbeatIntervalS * GangReservations.EVICTION_HEARTBEATS
 
@@ -57,7 +58,7 @@
         )
     }
 
-    /** Seconds to fetch the image, at the slowest of the placement's machine types. */
+    /** Returns the time to fetch the image in seconds, on the slowest of the placement's machine types. */
     private fun fetchTimeS(job: Job, placement: GangPlacementResult.Feasible): Double {
         val slowestGbPerS = placement.candidates.values
             .mapNotNull { context.view.machineTypes[it.machine.machineType]?.fetchGbPerS }
@@ -66,7 +67,7 @@
     }
 
     private companion object {
-        /** The kind of service-level objective that bounds a job's time to its start. */
+        /** The kind of service-level objective that bounds the time until a job starts. */
         const val START_OBJECTIVE = "wait"
     }
 }
--- a/src/main/kotlin/flaxfield/gangs/InfeasibleShapes.kt
+++ b/src/main/kotlin/flaxfield/gangs/InfeasibleShapes.kt
@@ -6,8 +6,8 @@
 import flaxfield.jobs.Resources
 
 /**
- * Placement attempts of one scheduling cycle that were infeasible, so that gangs of the same shape, as large or larger,
- * are not tried again: with a hundred of them waiting, the attempts would take the leader's whole time.
+ * Caches the infeasible placement attempts of one scheduling cycle, so that equally large or larger gangs of the same
+ * shape are not tried again. With a hundred such gangs waiting, the attempts would take all of the leader's time.
  */
 class InfeasibleShapes {
     private data class Shape(
@@ -21,30 +21,30 @@
     )
 
     /** The smallest task count that is known to be infeasible, by shape. */
-    private val infeasibleTaskCounts = HashMap<Shape, Int>()
+    private val minInfeasibleTaskCounts = HashMap<Shape, Int>()
 
-    /** How many attempts were really made. */
+    /** The number of attempts made, without those answered from the cache. */
     var attempts = 0
         private set
 
     /**
-     * Places [job] on [candidates], unless one like it is known to be infeasible. [scope] tells which tasks the
-     * candidates are thought to be rid of; null if none.
+     * Places [job] on [candidates], unless its shape and size are known to be infeasible. [scope] determines which
+     * tasks the candidates count as evicted; null if they count none.
      */
     fun place(job: Job, scope: PreemptionScope?, candidates: () -> List<PlacementCandidate>): GangPlacementResult {
-        // Machines that failed this very job narrow its attempt: the result tells nothing of other jobs.
+        // The attempt skips the machines that this job failed on, so its result does not apply to other jobs.
         if (job.failedMachines.isNotEmpty()) {
             attempts++
             return GangPlacement.place(job, candidates())
         }
         val shape = shapeOf(job.spec, scope)
-        val infeasibleFrom = infeasibleTaskCounts[shape]
-        if (infeasibleFrom != null && job.spec.taskCount >= infeasibleFrom) {
+        val minInfeasibleTaskCount = minInfeasibleTaskCounts[shape]
+        if (minInfeasibleTaskCount != null && job.spec.taskCount >= minInfeasibleTaskCount) {
             return GangPlacementResult.Infeasible(0, job.spec.taskCount)
         }
         attempts++
         val result = GangPlacement.place(job, candidates())
-        if (result is GangPlacementResult.Infeasible) infeasibleTaskCounts[shape] = job.spec.taskCount
+        if (result is GangPlacementResult.Infeasible) minInfeasibleTaskCounts[shape] = job.spec.taskCount
         return result
     }
 
--- a/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
+++ b/src/main/kotlin/flaxfield/gangs/LargeGangReservation.kt
@@ -6,39 +6,43 @@
 import flaxfield.quota.JobOrder
 
 /**
- * Pure: machines reserved for one large gang at a time. Without it, each machine that comes free goes to a smaller gang
- * that fits at once, and the largest ones starve.
+ * Selects the machines that are reserved for one large gang at a time. Without a reservation each machine that becomes
+ * free goes to a smaller gang that fits at once, and the largest gangs starve. Pure functions.
  */
 object LargeGangReservation {
     /** A gang that has waited this fraction of the start objective may have machines reserved for it. */
     private const val OVERDUE_FRACTION = 0.2
 
-    /** Gangs submitted before this may have machines reserved for them. */
+    /**
+     * Returns the time, in wall-clock milliseconds, before which a gang must have been submitted to get a reservation.
+     */
     fun overdueBeforeMs(nowMs: Long): Long =
         nowMs - (JobOrder.START_OBJECTIVE_S * OVERDUE_FRACTION * MILLIS_PER_SECOND).toLong()
 
-    /** The gang to reserve for: the largest of those submitted before [overdueBeforeMs], the oldest of these. */
+    /** Returns the largest gang submitted before [overdueBeforeMs], or the oldest of several equally large ones. */
     fun selectGang(waiting: Collection<Job>, overdueBeforeMs: Long): Job? = waiting
         .filter { it.submittedMs < overdueBeforeMs && it.spec.taskCount > 1 && !it.isSuspect }
         .minWithOrNull(compareBy({ -it.spec.taskCount }, { it.submittedMs }, { it.id }))
 
     /**
-     * [ordered] with the gang that machines are reserved for at its head. The fleet must scale out in the same order as
-     * gangs are placed: else machines are reserved for one gang and scaled out for another, and neither starts.
+     * Returns [ordered] with the gang [reservedFor] moved to the front. The fleet must scale out in the same order as
+     * gangs are placed. Otherwise machines are reserved for one gang and scaled out for another, and neither starts.
      */
     fun withReservedFirst(reservedFor: Job?, ordered: List<Job>): List<Job> =
         listOfNotNull(reservedFor) + ordered.filter { it.id != reservedFor?.id }
 
     /**
-     * Whether [job] leaves its team's quota to [quotaBound], the selected gang that this quota alone keeps from
-     * starting. Only younger jobs of its team do; machines are not reserved for a gang that can't use them.
+     * Whether [job] yields its team's quota to [quotaBlocked], the selected gang, which waits only for that quota. Only
+     * jobs of the same team that were submitted later do. No machines are reserved for such a gang, as it can't use
+     * them.
      */
-    fun leavesQuotaTo(job: Job, quotaBound: Job): Boolean =
-        job !== quotaBound && job.spec.team == quotaBound.spec.team && job.submittedMs > quotaBound.submittedMs
+    fun yieldsQuotaTo(job: Job, quotaBlocked: Job): Boolean =
+        job !== quotaBlocked && job.spec.team == quotaBlocked.spec.team && job.submittedMs > quotaBlocked.submittedMs
 
     /**
-     * [candidates] less those that [job] will use: in the zone where it lacks the least, as many as it has tasks.
-     * [afterEviction] are the same machines as they would be without the tasks that it may preempt.
+     * Returns [candidates] without the machines that [job] will use: enough for all its tasks and, if it is bound to
+     * one zone, in the zone that fits most of them. [afterEviction] are the same machines without the tasks that it may
+     * preempt.
      */
     fun withoutReserved(
         job: Job,
--- a/src/main/kotlin/flaxfield/quota/DominantShare.kt
+++ b/src/main/kotlin/flaxfield/quota/DominantShare.kt
@@ -2,11 +2,11 @@
 
 import flaxfield.settings.Team
 
-/** Pure: dominant-resource fairness, by the resource of which an amount is the larger share of a guarantee. */
+/** Computes dominant shares, as in dominant-resource fairness, relative to the guarantees of teams. Pure functions. */
 object DominantShare {
     /**
-     * The share that [cpus] and [gpus] are of the guarantee of [team]. A resource that is not guaranteed does not
-     * count; for a team without any guarantee one unit of each stands for it.
+     * Returns the dominant share of [cpus] and [gpus], the larger of their fractions of the guarantee of [team]. A
+     * resource that is not guaranteed does not count. For a team without any guarantee, one unit of each is assumed.
      */
     fun of(cpus: Double, gpus: Double, team: Team?): Double {
         if (team == null || team.cpus <= 0.0 && team.gpus <= 0.0) return maxOf(cpus, gpus)
--- a/src/main/kotlin/flaxfield/quota/JobOrder.kt
+++ b/src/main/kotlin/flaxfield/quota/JobOrder.kt
@@ -5,18 +5,20 @@
 import flaxfield.jobs.Resources
 import flaxfield.settings.Team
 
-/** Pure: in which order waiting jobs are served, which of them are guaranteed, and whom they may preempt. */
+/**
+ * Decides the scheduling order of waiting jobs, which of them are guaranteed, and which may preempt. Pure functions.
+ */
 object JobOrder {
-    /** The service-level objective for the start of each class's largest jobs, in seconds. */
+    /** The service-level objective for the time until the largest jobs of each class start, in seconds. */
     const val START_OBJECTIVE_S = 240.0
 
-    /** A job that has waited this fraction of the objective without any task started precedes all others. */
+    /** A job without any started task precedes all others once it has waited this fraction of the objective. */
     private const val OVERDUE_FRACTION = 0.5
 
-    /** Jobs submitted before this and not started are overdue. */
+    /** Returns the submission time, in wall-clock milliseconds, before which jobs that have not started are overdue. */
     fun overdueBeforeMs(nowMs: Long): Long = nowMs - (START_OBJECTIVE_S * OVERDUE_FRACTION * MILLIS_PER_SECOND).toLong()
 
-    /** The ids of the jobs that fit into their team's guarantee together with its earlier unfinished ones. */
+    /** Returns the ids of the jobs that fit into their team's guarantee together with its earlier unfinished jobs. */
     fun guaranteed(jobs: Collection<Job>, teams: Map<String, Team>): Set<String> {
         val result = HashSet<String>()
         for ((teamName, teamJobs) in jobs.filter { !it.cancelled }.groupBy { it.spec.team }) {
@@ -36,10 +38,10 @@
             (team.gpus <= 0.0 || requested.gpus <= team.gpus + QUOTA_EPSILON)
 
     /**
-     * Guarantee first, then priority, then classes with a service-level objective ([hasObjective]), then the team that
-     * uses the least share of its guarantee, then age. Before all of these come jobs submitted before
-     * [overdueBeforeMs] that have not started, so that no order starves a job for ever. After all of them come jobs
-     * that repeatedly fail, see [Job.isDeprioritized].
+     * Returns [jobs] in scheduling order: guaranteed jobs first, then by priority, then classes with a service-level
+     * objective ([hasObjective]), then teams that use the smallest share of their guarantee, then the oldest jobs. Jobs
+     * submitted before [overdueBeforeMs] that have not started precede all others, so that none starves. Jobs that
+     * repeatedly fail come last, see [Job.isDeprioritized].
      */
     fun sort(
         jobs: Collection<Job>,
@@ -58,10 +60,10 @@
                 hasObjective = hasObjective(job.spec.jobClass),
                 teamShare = shares.getOrPut(job.spec.team) { usage.guaranteeShare(job.spec.team) },
             )
-        }.sortedWith(SERVICE_ORDER).map { it.job }
+        }.sortedWith(SCHEDULING_ORDER).map { it.job }
     }
 
-    /** What a job's place depends on, worked out once and not at each comparison. */
+    /** The sort key of a job, computed once rather than at each comparison. */
     private class SortKey(
         val job: Job,
         val isDeprioritized: Boolean,
@@ -71,7 +73,7 @@
         val teamShare: Double,
     )
 
-    private val SERVICE_ORDER = Comparator<SortKey> { a, b ->
+    private val SCHEDULING_ORDER = Comparator<SortKey> { a, b ->
         when {
             a.isDeprioritized != b.isDeprioritized -> if (a.isDeprioritized) 1 else -1
             a.isOverdue != b.isOverdue -> if (a.isOverdue) -1 else 1
@@ -86,7 +88,7 @@
 
     /**
      * Whether [job] may preempt a task of [other] ("Preemption" in PROTOCOL-flaxfield.md): by priority, or within its
-     * team's guarantee against a team that exceeds its own. A job that repeatedly fails preempts nobody.
+     * team's guarantee against a team that exceeds its own. A job that repeatedly fails may not preempt.
      */
     fun mayPreempt(job: Job, jobGuaranteed: Boolean, other: Job, usage: TeamUsage): Boolean {
         if (job.isSuspect) return false
--- a/src/main/kotlin/flaxfield/quota/TeamUsage.kt
+++ b/src/main/kotlin/flaxfield/quota/TeamUsage.kt
@@ -8,8 +8,8 @@
 internal const val QUOTA_EPSILON = 1e-6
 
 /**
- * What each team's task records take now. A record counts until it is proven that its task has left its machine, older
- * attempts included. Not shared: a scheduler adds what it places to a copy of its own.
+ * The resources in use by each team's task records, including those of older attempts. A record counts until its task
+ * is proven to have terminated on its machine. Not shared: each scheduler adds its placements to its own copy.
  */
 class TeamUsage private constructor(
     private val teams: Map<String, Team>,
@@ -21,41 +21,41 @@
         }
     }
 
-    /** The same usage, to be added to independently. */
+    /** Returns an independent copy. */
     fun copy() = TeamUsage(teams, HashMap(used))
 
-    /** What the team uses. */
+    /** Returns the resources that the team uses. */
     fun of(team: String): Resources = used[team] ?: Resources.NONE
 
-    /** Adds [resources] to what the team uses. */
+    /** Adds [resources] to the usage of the team. */
     fun add(team: String, resources: Resources) {
         used[team] = of(team) + resources
     }
 
     /**
-     * How many more tasks of size [taskResources] the team's limit admits now, less what is [kept] for others of it.
-     * [Int.MAX_VALUE] without a limit, 0 for an unknown team.
+     * Returns how many more tasks of size [taskResources] the team's limit admits in addition to its usage and
+     * the quota [reserved] for its other jobs. Returns [Int.MAX_VALUE] without a limit, and 0 for an unknown team.
      */
-    fun remainingTasks(team: String, taskResources: Resources, kept: Resources = Resources.NONE): Int {
+    fun remainingTasks(team: String, taskResources: Resources, reserved: Resources = Resources.NONE): Int {
         val limits = teams[team] ?: return 0
-        val usage = of(team) + kept
+        val usage = of(team) + reserved
         return minOf(
             countFitting(limits.cpusMax, usage.cpus, taskResources.cpus),
             countFitting(limits.gpusMax, usage.gpus, taskResources.gpus),
         )
     }
 
-    /** The team's use relative to its guarantee, or to one unit of each resource that it has less than that of. */
+    /** Returns the team's usage relative to its guarantee, where each guarantee counts as at least one unit. */
     fun guaranteeShare(team: String): Double {
         val guarantee = teams[team] ?: return 0.0
         val usage = of(team)
         return maxOf(usage.cpus / maxOf(1.0, guarantee.cpus), usage.gpus / maxOf(1.0, guarantee.gpus))
     }
 
-    /** The team's use relative to its guarantee by its dominant resource, see [DominantShare]. */
+    /** Returns the team's usage relative to its guarantee by its dominant resource, see [DominantShare]. */
     fun dominantShare(team: String): Double = of(team).let { DominantShare.of(it.cpus, it.gpus, teams[team]) }
 
-    /** Whether the team uses more than its guarantee. A team without one borrows all that it uses. */
+    /** Whether the team uses more than its guarantee. A team without a guarantee borrows all that it uses. */
     fun exceedsGuarantee(team: String): Boolean {
         val guarantee = teams[team] ?: return true
         val usage = of(team)
