--- a/src/main/kotlin/flaxfield/Units.kt
+++ b/src/main/kotlin/flaxfield/Units.kt
@@ -1,13 +1,13 @@
 package flaxfield
 
-/** Nanoseconds of the steady clock in a second; fractional, since most times are ratios of settings in seconds. */
+/** Nanoseconds per second. A double, since most durations are computed from settings in fractional seconds. */
 const val NANOS_PER_SECOND = 1e9
 
-/** Nanoseconds of the steady clock in a millisecond. */
+/** Nanoseconds per millisecond. */
 const val NANOS_PER_MILLI = 1_000_000L
 
-/** Milliseconds of the time of day in a second; fractional, as [NANOS_PER_SECOND]. */
+/** Milliseconds per second; a double for the same reason as [NANOS_PER_SECOND]. */
 const val MILLIS_PER_SECOND = 1000.0
 
-/** Bytes in the unit in which the state service's limits are given. */
+/** Bytes per KiB, the unit of the state service's size limits. */
 const val BYTES_PER_KIB = 1024
--- a/src/main/kotlin/flaxfield/jobs/FinishedJob.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJob.kt
@@ -1,4 +1,4 @@
 package flaxfield.jobs
 
-/** A job that is over, in its compact form: cancelled if [aborted], with [done] completed tasks. */
+/** The compact record of a finished job: it was cancelled if [aborted], and [done] of its tasks completed. */
 data class FinishedJob(val id: String, val aborted: Boolean, val done: Int)
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobCache.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobCache.kt
@@ -4,17 +4,17 @@
 import com.github.benmanes.caffeine.cache.Caffeine
 
 /**
- * The last [maxJobs] finished jobs that this process has read. The cache is created with its first entry, which keeps
- * the loading of its classes out of the start of the process.
+ * Caches up to [maxJobs] finished jobs that this process has read. The cache is created with its first entry, so that
+ * its classes are not loaded while the process starts.
  */
 internal class FinishedJobCache(private val maxJobs: Long) {
     private var cache: Cache<String, FinishedJob>? = null
 
-    /** The job with this [id], if it is remembered as finished. */
+    /** Returns the finished job with this [id] if it is cached, or else null. */
     fun find(id: String): FinishedJob? = cache?.getIfPresent(id)
 
-    /** Remembers a job that is finished for good. */
-    fun remember(job: FinishedJob) {
+    /** Caches [job], which never changes again. */
+    fun put(job: FinishedJob) {
         val entries = cache ?: newCache().also { cache = it }
         entries.put(job.id, job)
     }
--- a/src/main/kotlin/flaxfield/jobs/Job.kt
+++ b/src/main/kotlin/flaxfield/jobs/Job.kt
@@ -2,15 +2,18 @@
 
 import java.util.BitSet
 
-/** An accepted job that is not over, as the store has it. Immutable. JobChunk 0 is stored in the head's key. */
+/**
+ * An accepted, unfinished job as the store records it. Immutable. The head record holds the fields of the job itself
+ * and chunk 0; each further chunk has a record of its own.
+ */
 data class Job(
     val spec: JobSpec,
     val submittedMs: Long,
     val cancelledMs: Long?,
-    /** Machines on which a task of this job ended with an error, the latest last. */
+    /** Machines on which a task of this job ended with an error, the most recent last. */
     val failedMachines: List<String>,
     val failureCount: Int,
-    /** No task is placed before this time of day: set when the job fails on one machine after another. */
+    /** Wall-clock time before which no task is placed; set when the job fails on one machine after another. */
     val retryAtMs: Long,
     val chunkTasks: Int,
     val chunks: Map<Int, JobChunk>,
@@ -22,55 +25,56 @@
     val placedCount: Int by lazy(LazyThreadSafetyMode.NONE) { chunks.values.sumOf { it.placed.size } }
     val pendingCount: Int get() = spec.taskCount - doneCount - placedCount
 
-    /** Whether all tasks are done. */
+    /** Whether all tasks have completed. */
     val complete: Boolean get() = doneCount >= spec.taskCount
 
-    /** Whether nothing is left to do: all tasks are done, or it is cancelled and no task is on a machine. */
-    val isOver: Boolean get() = complete || (cancelled && placedCount == 0)
+    /** Whether nothing is left to do: all tasks have completed, or the job is cancelled and no task is placed. */
+    val isFinished: Boolean get() = complete || (cancelled && placedCount == 0)
 
-    /** Whether any task of it has ever been placed. */
-    val hasBegun: Boolean get() = chunks.values.any { it.next > 1L }
+    /** Whether any task has ever been placed. */
+    val hasBegun: Boolean get() = chunks.values.any { it.nextAttempt > 1L }
     val isGang: Boolean get() = spec.jobKind == JobKind.GANG
 
     /**
-     * Whether it was most likely submitted with a mistake: it failed on several machines, more often than tasks of it
-     * are on others now, and no task has completed. It is retried without end, after all other jobs.
+     * Whether the job crash-loops: it failed on several machines, more often than it has tasks placed now, and no task
+     * has completed. The job itself is then most likely faulty. It is retried indefinitely, after all other jobs.
      */
-    val isSuspect: Boolean get() = failedMachines.size >= TaskEventRules.MIN_FAILED_MACHINES_OF_FAULTY_JOB &&
+    val isSuspect: Boolean get() = failedMachines.size >= TaskEventRules.MIN_FAILED_MACHINES_OF_CRASH_LOOP &&
         doneCount == 0 &&
         placedCount < failureCount
 
-    /** Whether it comes after all others: it [isSuspect], and its retry is not overdue since [overdueBeforeMs]. */
+    /** Whether the job comes after all others: it crash-loops, and its retry was not due before [overdueBeforeMs]. */
     fun isDeprioritized(overdueBeforeMs: Long): Boolean = isSuspect && retryAtMs >= overdueBeforeMs
 
-    /** The chunk with the task at [index]. */
+    /** Returns the chunk that holds the task at [index]. */
     fun chunk(index: Int): JobChunk = chunks[index / chunkTasks] ?: JobChunk.empty()
 
-    /** Where the task at [index] is placed; null if it is not. */
+    /** Returns the placement of the task at [index], or null if it is not placed. */
     fun placed(index: Int): Placement? = chunks[index / chunkTasks]?.placed?.get(index)
 
     /** Whether the task at [index] has completed. */
     fun isDone(index: Int): Boolean = chunks[index / chunkTasks]?.done?.get(index) ?: false
 
-    /** Whether the task at [index] was lost and is not known to run again. */
+    /** Whether the task at [index] was lost and is not yet known to run again. */
     fun isInterrupted(index: Int): Boolean = chunks[index / chunkTasks]?.interrupted?.contains(index) ?: false
 
-    /** Where all placed tasks are, chunk by chunk. */
+    /** Returns all placements, chunk by chunk. */
     fun allPlaced(): Sequence<Placement> = chunks.values.asSequence().flatMap { it.placed.values.asSequence() }
 
     /**
-     * Indexes of tasks neither done nor placed, starting at [from] and wrapping round, in the chunks that [open]
-     * admits. Goes chunk by chunk: a look-up for each task of a large array would dominate a scheduling cycle.
+     * Returns the indexes of tasks that are neither completed nor placed, in the chunks that [includesChunk] admits.
+     * They start at [from] and wrap around. The search goes chunk by chunk: a map lookup for each task of a large array
+     * would dominate a scheduling cycle.
      */
-    fun pending(from: Int = 0, open: (Int) -> Boolean = { true }): Sequence<Int> =
-        pending(from, spec.taskCount, open) + pending(0, from, open)
+    fun pending(from: Int = 0, includesChunk: (Int) -> Boolean = { true }): Sequence<Int> =
+        pending(from, spec.taskCount, includesChunk) + pending(0, from, includesChunk)
 
-    private fun pending(from: Int, until: Int, open: (Int) -> Boolean): Sequence<Int> = sequence {
+    private fun pending(from: Int, until: Int, includesChunk: (Int) -> Boolean): Sequence<Int> = sequence {
         var index = from
         while (index < until) {
             val number = index / chunkTasks
             val end = minOf(until, (number + 1) * chunkTasks)
-            if (open(number)) {
+            if (includesChunk(number)) {
                 val chunk = chunks[number] ?: JobChunk.empty()
                 var next = chunk.done.nextClearBit(index)
                 while (next < end) {
@@ -82,48 +86,48 @@
         }
     }
 
-    /** This job with its chunk [number] replaced. */
+    /** Returns this job with chunk [number] replaced. */
     fun withChunk(number: Int, chunk: JobChunk): Job = copy(chunks = chunks + (number to chunk))
 
-    /** Records tasks as placed, by index. They get [attempt], or else each the next one of its chunk. */
+    /** Records the tasks with the indexes in [targets] as placed, with [attempt] or else their chunk's next attempt. */
     fun place(targets: Map<Int, Target>, attempt: Long? = null): Job {
         var job = this
         for ((number, inChunk) in targets.entries.groupBy { it.key / chunkTasks }) {
             val chunk = job.chunks[number] ?: JobChunk.empty()
-            val used = attempt ?: chunk.next
+            val assignedAttempt = attempt ?: chunk.nextAttempt
             val added = inChunk.associate { (index, target) ->
-                index to Placement(index, used, target.name, target.incarnation, stopping = false)
+                index to Placement(index, assignedAttempt, target.name, target.incarnation, stopping = false)
             }
-            job = job.withChunk(number, chunk.copy(next = used + 1, placed = chunk.placed + added))
+            job = job.withChunk(number, chunk.copy(nextAttempt = assignedAttempt + 1, placed = chunk.placed + added))
         }
         return job
     }
 
-    /** The attempt that a whole gang gets: above all that any of its tasks had. */
-    fun nextGangAttempt(): Long = chunks.values.maxOfOrNull { it.next } ?: 1L
+    /** Returns the next attempt number of a gang, which is higher than that of any earlier attempt of its tasks. */
+    fun nextGangAttempt(): Long = chunks.values.maxOfOrNull { it.nextAttempt } ?: 1L
 
-    /** Records tasks as not placed. */
-    fun free(indexes: Collection<Int>): Job = edit(indexes) { chunk, index ->
+    /** Records tasks as no longer placed. */
+    fun free(indexes: Collection<Int>): Job = updateChunks(indexes) { chunk, index ->
         chunk.copy(placed = chunk.placed - index)
     }
 
-    /** Records that tasks were lost to their job, until they are known to run again. */
-    fun interrupt(indexes: Collection<Int>): Job = edit(indexes) { chunk, index ->
+    /** Records tasks as interrupted: they were lost and are not yet known to run again. */
+    fun interrupt(indexes: Collection<Int>): Job = updateChunks(indexes) { chunk, index ->
         chunk.copy(interrupted = chunk.interrupted + index)
     }
 
-    /** Records that interrupted tasks run again. */
-    fun restore(indexes: Collection<Int>): Job = edit(indexes) { chunk, index ->
+    /** Records tasks as no longer interrupted, since they run again. */
+    fun restore(indexes: Collection<Int>): Job = updateChunks(indexes) { chunk, index ->
         chunk.copy(interrupted = chunk.interrupted - index)
     }
 
-    /** Records that placed tasks are to stop. */
-    fun stop(indexes: Collection<Int>): Job = edit(indexes) { chunk, index ->
+    /** Records that placed tasks must stop. */
+    fun stop(indexes: Collection<Int>): Job = updateChunks(indexes) { chunk, index ->
         val placement = chunk.placed[index]
         if (placement == null) chunk else chunk.copy(placed = chunk.placed + (index to placement.copy(stopping = true)))
     }
 
-    /** Records tasks as completed, all those of a chunk in one step. */
+    /** Records tasks as completed, with one copy of each affected chunk. */
     fun finish(indexes: Collection<Int>): Job {
         val next = HashMap(chunks)
         for ((number, inChunk) in indexes.groupBy { it / chunkTasks }) {
@@ -140,16 +144,16 @@
         return copy(chunks = next)
     }
 
-    /** Whether a change of one chunk must be written to the head's key as well, since other chunks depend on it. */
+    /** Whether the placement of one task constrains the others: then a change of any chunk must also write the head. */
     val tasksAreCoupled: Boolean get() = isGang || spec.sameZone || spec.spreadAcrossZones
 
-    /** Whether the head's own fields are those of [other]: all that the head's key holds besides chunk 0. */
+    /** Whether the head record of [other] differs at most in chunk 0. */
     fun sameHead(other: Job): Boolean = cancelledMs == other.cancelledMs &&
         failedMachines == other.failedMachines &&
         failureCount == other.failureCount &&
         retryAtMs == other.retryAtMs
 
-    private fun edit(indexes: Collection<Int>, change: (JobChunk, Int) -> JobChunk): Job {
+    private fun updateChunks(indexes: Collection<Int>, change: (JobChunk, Int) -> JobChunk): Job {
         val next = HashMap(chunks)
         for (index in indexes) {
             val number = index / chunkTasks
@@ -158,6 +162,6 @@
         return copy(chunks = next)
     }
 
-    /** Where a task is put: a machine, and the incarnation that its worker last reported. */
+    /** The machine to place a task on, and the incarnation that its worker last reported. */
     data class Target(val name: String, val incarnation: ULong)
 }
--- a/src/main/kotlin/flaxfield/jobs/JobAdmission.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobAdmission.kt
@@ -3,12 +3,12 @@
 import flaxfield.fleet.MachineType
 import flaxfield.settings.Team
 
-/** Whether a well-formed job can ever run. Pure functions. */
+/** Decides whether a well-formed job can ever run. Pure functions. */
 object JobAdmission {
-    /** Amounts are decimal numbers: a limit must not be exceeded by the last bit of a product. */
+    /** Tolerance for rounding: a product of decimal amounts may exceed an equal limit in its last bit. */
     private const val EPSILON = 1e-6
 
-    /** Why [spec] can never run, or null if it can. */
+    /** Returns why [spec] can never run, or null if it can. */
     fun rejectionReason(spec: JobSpec, teams: Map<String, Team>, machineTypes: Map<String, MachineType>): String? {
         val team = teams[spec.team] ?: return "unknown team ${spec.team}"
         if (machineTypes.values.none { allowed(spec, it) }) return "a task fits no allowed machine type"
@@ -25,6 +25,6 @@
             machineType.capacity.canHold(spec.taskResources) &&
             (spec.zone == null || spec.zone in machineType.zones)
 
-    /** A limit of 0 is no limit. */
+    /** Whether [requested] is above [limit]; a limit of 0 means none. */
     private fun exceeds(requested: Double, limit: Double) = limit > 0.0 && requested > limit + EPSILON
 }
--- a/src/main/kotlin/flaxfield/jobs/JobCodec.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobCodec.kt
@@ -4,9 +4,9 @@
 import flaxfield.codec.MalformedException
 import java.util.BitSet
 
-/** Wire and stored forms of jobs; the users' field names and those of stored jobs appear only here. */
+/** Encodes and decodes the wire and stored forms of jobs. The field names of both appear only here. */
 object JobCodec {
-    /** The longest text that is taken in any field: a job's head must fit its value many times over. */
+    /** The maximum length of any text field, so that a job's head stays far below the size limit of a value. */
     private const val MAX_TEXT_LENGTH = 200
     private const val MAX_TASKS = 100_000
     private val ID = Regex("job-[0-9]{1,18}")
@@ -19,10 +19,10 @@
         "idle" to Priority.IDLE,
     )
 
-    /** Whether [id] has the form that every job id has. */
+    /** Whether [id] is a well-formed job id. */
     fun isId(id: String): Boolean = ID.matches(id)
 
-    /** Reads a submission; throws [MalformedException] for a missing or invalid field. */
+    /** Decodes a submission; throws [MalformedException] for a missing or invalid field. */
     fun decodeSpec(fields: FieldMap): JobSpec {
         val id = text(fields, "id")
         if (!isId(id)) throw MalformedException("id is invalid")
@@ -56,7 +56,7 @@
         )
     }
 
-    /** The wire form of a submission, which is also its stored form. */
+    /** Encodes a submission in its wire form, which is also its stored form. */
     fun encodeSpec(spec: JobSpec): Map<String, Any?> = mapOf(
         "id" to spec.id,
         "jobclass" to spec.jobClass,
@@ -80,7 +80,7 @@
         "due_s" to spec.deadlineS,
     )
 
-    /** The head's value: the job and its chunk 0. */
+    /** Encodes a job's head record, which includes chunk 0. */
     fun encodeHead(job: Job): Map<String, Any?> = mapOf(
         "spec" to encodeSpec(job.spec),
         "at" to job.submittedMs,
@@ -91,7 +91,7 @@
         "size" to job.chunkTasks,
     ) + encodeChunk(job.chunks[0] ?: JobChunk.empty())
 
-    /** Reads a head's value; throws [MalformedException] for a missing or invalid field. */
+    /** Decodes a job's head record; throws [MalformedException] for a missing or invalid field. */
     fun decodeHead(fields: FieldMap, version: ULong): Job = Job(
         spec = decodeSpec(fields.requireMap("spec")),
         submittedMs = fields.requireUnsigned("at").toLong(),
@@ -104,10 +104,10 @@
         version = version,
     )
 
-    /** A chunk's value; that of chunk 0 is part of the head's. */
+    /** Encodes a chunk; chunk 0 is part of the head record. */
     fun encodeChunk(chunk: JobChunk): Map<String, Any?> {
         val value = mapOf(
-            "next" to chunk.next,
+            "next" to chunk.nextAttempt,
             "done" to encodeRanges(chunk.done),
             "placed" to chunk.placed.values.map(::encodePlacement),
         )
@@ -122,9 +122,9 @@
         placement.stopping,
     )
 
-    /** Reads a chunk's value. */
+    /** Decodes a chunk. */
     fun decodeChunk(fields: FieldMap, version: ULong): JobChunk = JobChunk(
-        next = fields.requireUnsigned("next").toLong(),
+        nextAttempt = fields.requireUnsigned("next").toLong(),
         done = decodeRanges(fields, "done"),
         placed = fields.list("placed").orEmpty().map { decodePlacement(it as List<*>) }.associateBy { it.index },
         version = version,
@@ -139,14 +139,14 @@
         stopping = row[4] as Boolean,
     )
 
-    /** A finished job's value; its id is in the key. */
+    /** Encodes a finished job; its id is in the key. */
     fun encodeFinished(job: FinishedJob): Map<String, Any?> = mapOf("aborted" to job.aborted, "done" to job.done)
 
-    /** Reads a finished job's value. */
+    /** Decodes the finished job with this [id]. */
     fun decodeFinished(id: String, fields: FieldMap) =
         FinishedJob(id, fields.boolean("aborted") ?: false, fields.int("done") ?: 0)
 
-    /** The status that users get for a job that is not over. */
+    /** Returns the status of an unfinished job in its wire form. */
     fun status(job: Job): Map<String, Any?> = mapOf(
         "id" to job.id,
         "phase" to when {
@@ -158,7 +158,7 @@
         "running" to job.placedCount,
     )
 
-    /** The status that users get for a job that is over. */
+    /** Returns the status of a finished job in its wire form. */
     fun status(job: FinishedJob): Map<String, Any?> = mapOf(
         "id" to job.id,
         "phase" to if (job.aborted) "aborted" else "done",
@@ -166,17 +166,17 @@
         "running" to 0,
     )
 
-    /** Reads a task's name, its job's id and its index; null if it has another form. */
+    /** Parses a task name, `job/index`; returns null if it is malformed. */
     fun parseTaskId(name: String): TaskId? {
         val slash = name.indexOf('/')
         val index = if (slash > 0) name.substring(slash + 1).toIntOrNull() else null
         return if (index == null || index < 0) null else TaskId(name.substring(0, slash), index)
     }
 
-    /** The name of a task on the wire. */
+    /** Returns the name of a task on the wire. */
     fun taskName(id: String, index: Int): String = "$id/$index"
 
-    /** Reads a list of pairs: the first and the last index of each range. */
+    /** Decodes a flat list that holds the first and the last index of each range. */
     private fun decodeRanges(fields: FieldMap, name: String): BitSet {
         val result = BitSet()
         val bounds = fields.list(name).orEmpty().map { (it as Number).toInt() }
--- a/src/main/kotlin/flaxfield/jobs/JobReader.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobReader.kt
@@ -4,18 +4,18 @@
 import flaxfield.net.Responder
 
 /**
- * Finds jobs for users' requests, among those of the view and the finished ones. A read that has no outcome answers the
- * request with 503; its continuation is then not run.
+ * Finds jobs for users' requests, both live and finished ones. If a read has no outcome, the request gets a response
+ * with status 503 and the continuation is not run.
  */
 internal class JobReader(context: ControllerContext) {
     private val finishedJobs = FinishedJobCache(context.operator.finishedCache.toLong())
-    private val finishedLookup = FinishedJobLookup(context, finishedJobs::remember)
+    private val finishedLookup = FinishedJobLookup(context, finishedJobs::put)
     private val currentJobs = LinearizableJobReader(context)
 
-    /** The finished job with this [id], if this process remembers it. */
-    fun rememberedAsFinished(id: String): FinishedJob? = finishedJobs.find(id)
+    /** Returns the finished job with this [id] if it is cached, or else null. */
+    fun findCached(id: String): FinishedJob? = finishedJobs.find(id)
 
-    /** Runs [then] with the job as of now, or null if there is no live one. */
+    /** Runs [then] with the current state of the job, or with null if no live job has this [id]. */
     fun readCurrent(id: String, responder: Responder, then: (Job?) -> Unit) = currentJobs.read(id) { result ->
         when (result) {
             is JobReadResult.Current -> then(result.job)
@@ -23,20 +23,22 @@
         }
     }
 
-    /** Looks for a finished job in the store; [absent] runs if there is none. */
+    /** Looks up a finished job in the store; runs [absent] if there is none. */
     fun findFinished(id: String, responder: Responder, found: (FinishedJob) -> Unit, absent: () -> Unit) =
-        finishedLookup.ask(id) { result ->
+        finishedLookup.lookUp(id) { result ->
             when (result) {
-                is FinishedJobResult.Known -> found(result.job)
-                is FinishedJobResult.Absent -> absent()
-                is FinishedJobResult.Unclear -> responder.send(JobResponse.Unavailable("not found out in time"))
+                is FinishedJobLookupResult.Found -> found(result.job)
+                is FinishedJobLookupResult.Absent -> absent()
+                is FinishedJobLookupResult.Unavailable -> responder.send(
+                    JobResponse.Unavailable("not found out in time"),
+                )
             }
         }
 
-    /** Ends reads that the view has caught up with. */
+    /** Completes the reads whose revision the view has reached. */
     fun onViewAdvanced() = currentJobs.onViewAdvanced()
 
-    /** Sends what waits for its turn, and gives up on what took too long. */
+    /** Sends pending reads that are due, and fails those that timed out. */
     fun tick() {
         finishedLookup.run()
         currentJobs.tick()
--- a/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobRequestHandler.kt
@@ -7,32 +7,33 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Users' requests: submission, status, cancellation. No outcome is reported before it is committed, and each request
- * gets one response. Used by the owner thread only.
+ * Handles users' requests: submission, status and cancellation. No outcome is reported before it is committed, and each
+ * request gets one response. Used by the owner thread only.
  *
- * @param begin places the first tasks of a job that is just being submitted, if that can be done at once
+ * @param placeInitialTasks places the tasks of a job while it is being submitted, or returns null if they must wait
  */
-class JobRequestHandler(private val context: ControllerContext, begin: (Job) -> InitialPlacement?) {
+class JobRequestHandler(private val context: ControllerContext, placeInitialTasks: (Job) -> InitialPlacement?) {
     private val reader = JobReader(context)
-    private val submitter = JobSubmitter(context, reader, begin, ::status)
+    private val submitter = JobSubmitter(context, reader, placeInitialTasks, ::status)
     private val canceller = JobCanceller(context, reader)
 
-    /** Accepts or rejects the job that [body] describes; a repeat of an accepted one is answered with its status. */
+    /** Accepts or rejects the job in [body]. A repeated submission of an accepted job gets the status of that job. */
     fun submit(body: ByteArray, responder: Responder) = submitter.submit(body, responder)
 
-    /** Cancels the job with this [id]; a repeat is answered alike. */
+    /** Cancels the job with this [id]. A repeated cancellation gets the same response. */
     fun cancel(id: String, responder: Responder) = canceller.cancel(id, responder)
 
-    /** Answers with the state of the job with this [id], as of now. */
+    /** Responds with the current status of the job with this [id]. */
     fun status(id: String, responder: Responder) {
         if (!JobCodec.isId(id)) return responder.send(JobResponse.UnknownJob)
-        val finished = reader.rememberedAsFinished(id)
+        val finished = reader.findCached(id)
         if (finished != null) return responder.send(JobResponse.Finished(finished))
         reader.readCurrent(id, responder) { job ->
             when {
                 job != null -> responder.send(JobResponse.Live(job))
                 context.view.version(StoreKeys.JOB + id) != 0uL -> {
-                    // Its record exists and can't be decoded: it was accepted all the same, and is never unknown.
+                    // The record exists but can't be decoded. The job was accepted, so it must not be reported as
+                    // unknown.
                     log.error("event=job_record_unreadable job={}", id)
                     responder.send(JobResponse.Pending(id))
                 }
@@ -43,10 +44,10 @@
         }
     }
 
-    /** Ends reads that the view has caught up with. */
+    /** Completes the reads whose revision the view has reached. */
     fun onViewAdvanced() = reader.onViewAdvanced()
 
-    /** Sends what waits for its turn, and gives up on what took too long. */
+    /** Sends pending reads that are due, and fails those that timed out. */
     fun tick() = reader.tick()
 
     private companion object {
--- a/src/main/kotlin/flaxfield/jobs/JobResponse.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobResponse.kt
@@ -5,21 +5,21 @@
 import flaxfield.net.HttpStatus
 import flaxfield.net.Responder
 
-/** What a user's request is answered with; its wire form is made in [send]. */
+/** The response to a user's request; [send] encodes it. */
 internal sealed interface JobResponse {
-    /** A job that is not over. */
+    /** The status of an unfinished job. */
     data class Live(val job: Job) : JobResponse
 
-    /** A job that is over. */
+    /** The status of a finished job. */
     data class Finished(val job: FinishedJob) : JobResponse
 
-    /** A job that is accepted, with nothing known beyond that. */
+    /** The status of an accepted job about which nothing else is known. */
     data class Pending(val id: String) : JobResponse
 
     /** The submission has been committed. */
     data class Accepted(val id: String) : JobResponse
 
-    /** The job is over as far as a cancellation goes: [aborted], or done before it came. */
+    /** The job is cancelled if [aborted]; otherwise it had completed before the cancellation arrived. */
     data class Cancelled(val id: String, val aborted: Boolean) : JobResponse
 
     /** The request could not be decoded. */
@@ -28,18 +28,18 @@
     /** No job with this id was ever accepted. */
     data object UnknownJob : JobResponse
 
-    /** A well-formed job that can never run. */
+    /** The job is well-formed but can never run. */
     data class Rejected(val reason: String) : JobResponse
 
-    /** No outcome is known: the user is to repeat the request. */
+    /** The outcome is unknown; the user must repeat the request. */
     data class Unavailable(val reason: String) : JobResponse
 }
 
-/** The reason of an unavailable response while the state service does not respond. */
-internal const val STORE_SILENT = "the state service does not answer"
+/** The reason in an unavailable response while the state service does not respond. */
+internal const val STORE_UNREACHABLE = "the state service does not answer"
 private const val RETRY_AFTER_S = 1
 
-/** Sends [response] in its wire form. */
+/** Encodes and sends [response]. */
 internal fun Responder.send(response: JobResponse) = when (response) {
     is JobResponse.Live -> send(HttpStatus.OK, JobCodec.status(response.job))
     is JobResponse.Finished -> send(HttpStatus.OK, JobCodec.status(response.job))
--- a/src/main/kotlin/flaxfield/jobs/JobSpec.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSpec.kt
@@ -1,22 +1,22 @@
 package flaxfield.jobs
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job depend on one another. */
 enum class JobKind {
-    /** Independent tasks, each of which runs to its end. */
+    /** Independent tasks, each of which runs to completion. */
     ARRAY,
 
-    /** Tasks that run only all together. */
+    /** Tasks that run only if all of them run at the same time. */
     GANG,
 
-    /** Independent tasks that run until their user cancels them; placed like those of an array. */
+    /** Independent tasks that run until the user cancels the job; placed like those of an array. */
     SERVICE,
 }
 
-/** From the least to the most urgent; a later one may preempt an earlier one. */
+/** Priorities from the least to the most urgent; a later one may preempt an earlier one. */
 enum class Priority { IDLE, STANDARD, HIGH, PROD }
 
 /**
- * What a user submitted; it never changes. Sizes are in GB, times in seconds.
+ * A job as its user submitted it; it never changes. Sizes are in GB, times in seconds.
  *
  * @property taskResources what each task requests of its machine
  * @property image the container image that a machine must have pulled before a task starts
--- a/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -15,15 +15,15 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Accepts users' jobs. A submission is idempotent by its job's id: a repeat gets the accepted job's status.
+ * Accepts users' jobs. A submission is idempotent by its job id: a repeat gets the accepted job's status.
  *
- * @param begin places the first tasks of a job that is just being submitted, if that can be done at once
- * @param sendStatus answers with a job's status
+ * @param placeInitialTasks places the tasks of a job while it is being submitted, or returns null if they must wait
+ * @param sendStatus responds with a job's status
  */
 internal class JobSubmitter(
     private val context: ControllerContext,
     private val reader: JobReader,
-    private val begin: (Job) -> InitialPlacement?,
+    private val placeInitialTasks: (Job) -> InitialPlacement?,
     private val sendStatus: (String, Responder) -> Unit,
 ) {
     private val tasksPerChunk = JobTransactions.tasksPerChunk(context.settings.stateLimits)
@@ -34,13 +34,13 @@
         val spec = try {
             JobCodec.decodeSpec(Cbor.decode(body))
         } catch (e: MalformedException) {
-            log.info("event=submission_malformed reason={}", e.message)
+            log.info("event=submission_malformed reason=\"{}\"", e.message)
             return responder.send(JobResponse.Malformed(e.message ?: "malformed"))
         }
         if (TransactionSize.json(JobCodec.encodeSpec(spec)) > maxSpecBytes) {
             return responder.send(JobResponse.Malformed("flavors is too long"))
         }
-        val finished = reader.rememberedAsFinished(spec.id)
+        val finished = reader.findCached(spec.id)
         if (finished != null) return responder.send(JobResponse.Finished(finished))
         if (context.view.jobs.containsKey(spec.id)) return sendStatus(spec.id, responder)
         if (context.view.machineTypes.isEmpty()) {
@@ -49,9 +49,9 @@
         val rejection = JobAdmission.rejectionReason(spec, context.settings.teams, context.view.machineTypes)
         if (rejection != null) return reject(spec, rejection, responder)
         if (context.storeContact.isSilent(context.settings.workers.leaseS)) {
-            return responder.send(JobResponse.Unavailable(STORE_SILENT))
+            return responder.send(JobResponse.Unavailable(STORE_UNREACHABLE))
         }
-        accept(newJob(spec), responder, mayBegin = true)
+        accept(newJob(spec), responder, mayPlace = true)
     }
 
     private fun newJob(spec: JobSpec) = Job(
@@ -66,13 +66,13 @@
         version = 0uL,
     )
 
-    private fun accept(job: Job, responder: Responder, mayBegin: Boolean) {
+    private fun accept(job: Job, responder: Responder, mayPlace: Boolean) {
         val key = StoreKeys.JOB + job.id
         if (context.transactions.isWritePending(key)) {
             return responder.send(JobResponse.Unavailable("a submission of this job is under way"))
         }
-        if (!context.transactions.mayWrite(WriteCause.SUBMIT, 1)) return sendTooMany(responder)
-        val initial = if (mayBegin) begin(job) else null
+        if (!context.transactions.mayWrite(WriteCause.SUBMIT, 1)) return sendTooManySubmissions(responder)
+        val initial = if (mayPlace) placeInitialTasks(job) else null
         val transaction = Transaction(
             initial?.conditions.orEmpty() + mapOf(key to 0uL, StoreKeys.FINISHED_JOB + job.id to 0uL),
             listOf(Change.Put(key, JobCodec.encodeHead(initial?.job ?: job))),
@@ -83,23 +83,23 @@
                     logAccepted(job.spec, initial?.job)
                     responder.send(JobResponse.Accepted(job.id))
                 }
-                // A machine or the assignment has changed meanwhile, or the job is known already: a plain
-                // submission shows which.
+                // A machine or the assignment has changed, or the job exists already. A submission without
+                // placements shows which.
                 is TransactionOutcome.Conflict -> if (initial != null) {
-                    accept(job, responder, mayBegin = false)
+                    accept(job, responder, mayPlace = false)
                 } else {
                     sendStatus(job.id, responder)
                 }
                 is TransactionOutcome.Refused, is TransactionOutcome.Unknown ->
-                    responder.send(JobResponse.Unavailable(STORE_SILENT))
+                    responder.send(JobResponse.Unavailable(STORE_UNREACHABLE))
             }
         }
-        if (!sent) sendTooMany(responder)
+        if (!sent) sendTooManySubmissions(responder)
     }
 
     private fun logAccepted(spec: JobSpec, placedJob: Job?) {
         log.info(
-            "event=job_accepted job={} class={} team={} tasks={} image={} image_gb={} expected_runtime_s={}",
+            "event=job_accepted job={} job_class={} team={} tasks={} image={} image_gb={} expected_runtime_s={}",
             spec.id,
             spec.jobClass,
             spec.team,
@@ -120,7 +120,7 @@
         }
     }
 
-    /** A repeat of an accepted job must never be rejected, so the rejection is checked against the store first. */
+    /** Rejects a job unless the store has it already: a repeat of an accepted submission must never be rejected. */
     private fun reject(spec: JobSpec, reason: String, responder: Responder) =
         reader.readCurrent(spec.id, responder) { job ->
             if (job != null) {
@@ -133,12 +133,13 @@
             }
         }
 
-    private fun sendTooMany(responder: Responder) = responder.send(JobResponse.Unavailable("too many submissions"))
+    private fun sendTooManySubmissions(responder: Responder) =
+        responder.send(JobResponse.Unavailable("too many submissions"))
 
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.jobs")
 
-        /** The share of a value that the job as submitted may take. */
+        /** The share of a value that the spec of a job may take. */
         const val SPEC_SHARE = 0.3
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/JobTransactions.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobTransactions.kt
@@ -8,39 +8,39 @@
 import flaxfield.store.Transaction
 
 /**
- * Builds the compare-and-swap transactions that change job records, and the conditions and sizes they share. Nothing
- * here is sent: that is up to the caller.
+ * Builds the compare-and-swap transactions that change job records, with their common conditions and size limits. The
+ * callers submit them.
  */
 object JobTransactions {
-    /** A change of at least this many tasks of one job is worth a write of its own also when writes are scarce. */
+    /** A change of at least this many tasks of one job justifies a write of its own even while writes are scarce. */
     const val BULK_TASKS = 4
 
-    /** PROTOCOL-flaxfield.md: the size of a transaction in all. */
+    /** PROTOCOL-flaxfield.md: the maximum total size of a transaction. */
     private const val MAX_TRANSACTION_KIB = 64.0
 
-    /** The share of a value for placed tasks; the rest is for the job itself, ranges of done tasks, and growth. */
+    /** The share of a value for placed tasks; the rest is for the job itself, ranges of completed tasks, and growth. */
     private const val CHUNK_SHARE = 0.5
 
-    /** A placed task's record as the store counts it: index, attempt, machine, incarnation, flag. */
+    /** The size of one placement as the store counts it: index, attempt, machine, incarnation and flag. */
     private const val PLACEMENT_BYTES = 40
 
-    /** How many tasks' records share a value; the first chunk shares it with the job itself. */
+    /** Returns how many tasks make up a chunk. Chunk 0 shares its value with the job itself. */
     fun tasksPerChunk(limits: StateLimits): Int =
         (limits.valueKb * BYTES_PER_KIB * CHUNK_SHARE / PLACEMENT_BYTES).toInt().coerceAtLeast(1)
 
-    /** How many chunks of one job a transaction may change besides its head, each at most a value in size. */
+    /** Returns how many chunks of one job a transaction may change besides the head; each may fill a whole value. */
     fun maxChunks(limits: StateLimits): Int =
         minOf(limits.txnOps / 2, (MAX_TRANSACTION_KIB / limits.valueKb).toInt() - 1).coerceAtLeast(1)
 
-    /** The condition that every decision's transaction carries: the assignment under which it was made. */
+    /** Returns the condition of every decision's transaction: the assignment under which it was made is unchanged. */
     fun assignmentFence(context: ControllerContext): Map<String, ULong> = mapOf(
         StoreKeys.ASSIGNMENT to context.view.version(StoreKeys.ASSIGNMENT),
     )
 
     /**
-     * Replaces [old]'s record by [next], under the assignment of [term]. The head's version is always a condition,
-     * since it tells of a cancellation. The head is written only if it changes, or if the job's tasks depend on one
-     * another: otherwise controllers that change different chunks of one array would conflict.
+     * Replaces the records of [old] by those of [next], under the assignment of [term]. The head's version is always a
+     * condition, so that a cancellation makes the transaction fail. The head is written only if it changes, or if the
+     * tasks are coupled: otherwise controllers that change different chunks of one array would conflict.
      */
     fun update(old: Job, next: Job, term: ULong): Transaction {
         val writesHead = old.tasksAreCoupled || !old.sameHead(next)
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Moves a job to the finished ones, with the assignment as a condition if it is [fenced]. Chunks beyond a
-     * transaction's size are deleted later.
+     * Replaces a job's live records by that of a finished job. If [fenced], the assignment is a condition. Chunks that
+     * do not fit into one transaction are deleted later, by the [FinishedJobSweeper].
      */
     fun close(context: ControllerContext, job: Job, aborted: Boolean, fenced: Boolean): Transaction {
         val headKey = StoreKeys.JOB + job.id
@@ -86,8 +86,8 @@
     }
 
     /**
-     * With disruption budgets on, adds this controller's loss mark to a [transaction] that takes tasks from their
-     * machines: no drain proceeds on a view without it.
+     * If disruption budgets are enabled, adds this controller's loss mark to a [transaction] that takes tasks from
+     * their machines. No drain evicts tasks on the basis of a view that lacks this mark.
      */
     fun withLossMark(context: ControllerContext, transaction: Transaction): Transaction {
         val mark = context.subsystem?.lossMark() ?: return transaction
--- a/src/main/kotlin/flaxfield/jobs/Placement.kt
+++ b/src/main/kotlin/flaxfield/jobs/Placement.kt
@@ -1,10 +1,10 @@
 package flaxfield.jobs
 
 /**
- * Where a task is recorded: this [attempt] may run on [machineName] until it is proven that it left.
+ * The record of a placed task: this [attempt] may run on [machineName] until it is confirmed to have left.
  *
- * @property incarnation the worker's incarnation that the task was placed for: a newer one has lost the task
- * @property stopping whether the task is to stop and to go on elsewhere
+ * @property incarnation the worker incarnation that the task was placed on; a newer incarnation has lost the task
+ * @property stopping whether the task must stop, to be placed again elsewhere
  */
 data class Placement(
     val index: Int,
--- a/src/main/kotlin/flaxfield/jobs/Resources.kt
+++ b/src/main/kotlin/flaxfield/jobs/Resources.kt
@@ -1,14 +1,14 @@
 package flaxfield.jobs
 
-/** What one task requests of its machine, or what a machine has; [memoryGb] is in GB. */
+/** The resources that a task requests or that a machine has. */
 data class Resources(val cpus: Double, val gpus: Double, val memoryGb: Double) {
-    /** The sum, amount by amount. */
+    /** Returns the component-wise sum. */
     operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb)
 
-    /** The difference, amount by amount. */
+    /** Returns the component-wise difference. */
     operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
-    /** What [count] tasks of this size request together. */
+    /** Returns the total request of [count] tasks of this size. */
     operator fun times(count: Int) = Resources(cpus * count, gpus * count, memoryGb * count)
 
     /** Whether a task that requests [taskResources] fits. */
@@ -16,7 +16,7 @@
         gpus + EPSILON >= taskResources.gpus &&
         memoryGb + EPSILON >= taskResources.memoryGb
 
-    /** How many tasks that request [taskResources] each fit. */
+    /** Returns how many tasks that request [taskResources] each fit. */
     fun countFitting(taskResources: Resources): Int = minOf(
         countFitting(cpus, taskResources.cpus),
         countFitting(gpus, taskResources.gpus),
@@ -29,7 +29,7 @@
     companion object {
         val NONE = Resources(0.0, 0.0, 0.0)
 
-        /** Amounts are decimal numbers: sums of a few of them must not fail on the last bit. */
+        /** Tolerance for rounding: a sum of decimal amounts may exceed an equal amount in its last bit. */
         private const val EPSILON = 1e-6
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
+++ b/src/main/kotlin/flaxfield/jobs/StallMonitor.kt
@@ -5,80 +5,88 @@
 import org.slf4j.LoggerFactory
 
 /** Why a job makes no progress. */
-enum class Stall {
-    /** It failed on several machines, and its retry delay is not over. */
+enum class StallReason {
+    /** It failed on several machines, and its retry delay has not expired. */
     BACKS_OFF,
 
     /** Pending tasks wait for free resources. */
     WAITS_FOR_RESOURCES,
 
-    /** Tasks are to leave their machines, and it is not proven yet that they did. */
+    /** Tasks must leave their machines, and it is not confirmed yet that they have. */
     WAITS_FOR_PROOF,
 
-    /** It does: all its tasks are placed. */
-    RUNS,
+    /** All its tasks are placed, so it does make progress. */
+    NOT_STALLED,
 
-    /** A task is recorded on a machine whose record was dropped. */
+    /** A task is recorded on a machine whose record was deleted. */
     MACHINE_GONE,
 }
 
-/** What keeps a job from making progress. Pure functions. */
+/** Determines why a job makes no progress. Pure functions. */
 object StallRules {
-    /** [isKnown] tells whether a machine's record exists: it is dropped only once the machine's return was answered. */
-    fun reason(job: Job, nowMs: Long, isKnown: (String) -> Boolean): Stall = when {
-        job.allPlaced().any { !isKnown(it.machineName) } -> Stall.MACHINE_GONE
-        job.retryAtMs > nowMs -> Stall.BACKS_OFF
-        job.pendingCount > 0 -> Stall.WAITS_FOR_RESOURCES
-        job.cancelled || job.allPlaced().any { it.stopping } -> Stall.WAITS_FOR_PROOF
-        else -> Stall.RUNS
+    /**
+     * Returns why [job] makes no progress. [machineExists] tells whether a machine has a record, which is deleted only
+     * after the cloud has confirmed the machine's return.
+     */
+    fun reason(job: Job, nowMs: Long, machineExists: (String) -> Boolean): StallReason = when {
+        job.allPlaced().any { !machineExists(it.machineName) } -> StallReason.MACHINE_GONE
+        job.retryAtMs > nowMs -> StallReason.BACKS_OFF
+        job.pendingCount > 0 -> StallReason.WAITS_FOR_RESOURCES
+        job.cancelled || job.allPlaced().any { it.stopping } -> StallReason.WAITS_FOR_PROOF
+        else -> StallReason.NOT_STALLED
     }
 }
 
 /**
- * Watches for jobs whose records do not change: the leader logs them, and frees tasks on machines that are gone, which
- * nothing else would.
+ * Detects jobs whose records do not change. The leader logs them, and records tasks on removed machines as lost, which
+ * nothing else does.
  */
 class StallMonitor(private val context: ControllerContext, private val taskEvents: TaskEventCommitter) {
-    /** A job's version as last seen, and since when. */
+    /** A version of a job's records, and when this monitor first saw it. */
     private class Observation(val version: ULong, val sinceNs: Long) {
-        /** How often the stall was logged: once in each [STALL_S], not at each check. */
+        /** How often the stall was logged: once per [STALL_THRESHOLD_S], not at each check. */
         var logCount = 0
     }
 
     private val observations = HashMap<String, Observation>()
     private var nextCheckNs = 0L
 
-    /** Checks all jobs once in a while, if this process is the leader. */
+    /** Checks all jobs at a fixed interval if this process is the leader. */
     fun tick() {
         if (context.nowNs < nextCheckNs) return
-        nextCheckNs = context.nowNs + (context.settings.workers.leaseS * CHECK_LEASES * NANOS_PER_SECOND).toLong()
+        nextCheckNs =
+            context.nowNs + (context.settings.workers.leaseS * CHECK_INTERVAL_LEASES * NANOS_PER_SECOND).toLong()
         if (!context.leadership.isLeader()) return observations.clear()
         val jobs = context.view.jobs
         observations.keys.retainAll(jobs.keys)
         for (job in jobs.values) {
             val version = job.chunks.values.maxOfOrNull { it.version } ?: job.version
-            val before = observations[job.id]
-            if (before == null || before.version != version) {
+            val previous = observations[job.id]
+            if (previous == null || previous.version != version) {
                 observations[job.id] = Observation(version, context.nowNs)
             } else {
-                check(job, before)
+                check(job, previous)
             }
         }
     }
 
     private fun check(job: Job, observation: Observation) {
         val unchangedS = (context.nowNs - observation.sinceNs) / NANOS_PER_SECOND
-        if (unchangedS > context.settings.workers.leaseS && reason(job) == Stall.MACHINE_GONE) loseTasksOnGone(job)
-        if (unchangedS < STALL_S * (observation.logCount + 1)) return
+        if (unchangedS > context.settings.workers.leaseS && reason(job) == StallReason.MACHINE_GONE) loseOrphans(job)
+        if (unchangedS < STALL_THRESHOLD_S * (observation.logCount + 1)) return
         observation.logCount++
         val reason = reason(job)
-        if (reason != Stall.RUNS) logStall(job, unchangedS, reason)
+        if (reason != StallReason.NOT_STALLED) logStall(job, unchangedS, reason)
     }
 
-    private fun reason(job: Job): Stall = StallRules.reason(job, context.nowMs, context.view.machines::containsKey)
+    private fun reason(job: Job): StallReason =
+        StallRules.reason(job, context.nowMs, context.view.machines::containsKey)
 
-    /** A machine's record is dropped only after its return was answered, and names are never used again. */
-    private fun loseTasksOnGone(job: Job) {
+    /**
+     * Records tasks on removed machines as lost. A machine's record is deleted only after the cloud has confirmed its
+     * return, and machine names are never reused.
+     */
+    private fun loseOrphans(job: Job) {
         for (placement in job.allPlaced().filter { it.machineName !in context.view.machines }) {
             taskEvents.add(
                 TaskEvent.Lost(
@@ -93,7 +101,7 @@
         }
     }
 
-    private fun logStall(job: Job, unchangedS: Double, reason: Stall) = log.info(
+    private fun logStall(job: Job, unchangedS: Double, reason: StallReason) = log.info(
         "event=job_stalled term={} job={} reason={} unchanged_s={} pending={} placed={} team={}",
         context.leadership.term(),
         job.id,
@@ -107,10 +115,10 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.jobs")
 
-        /** How often the records are checked, in leases. */
-        const val CHECK_LEASES = 1.0
+        /** The interval between two checks, in worker leases. */
+        const val CHECK_INTERVAL_LEASES = 1.0
 
-        /** The operators ask that no job waits 75 s without an explanation: one unchanged for as long is logged. */
-        const val STALL_S = 75.0
+        /** A job unchanged for this long is logged: operators require that no job waits 75 s without an explanation. */
+        const val STALL_THRESHOLD_S = 75.0
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/StarvationTracker.kt
+++ b/src/main/kotlin/flaxfield/jobs/StarvationTracker.kt
@@ -3,18 +3,18 @@
 import flaxfield.MILLIS_PER_SECOND
 
 /**
- * Since when jobs have waited with no task of theirs on any machine. Outside of failures none may wait for [MAX_WAIT_S]
- * while a machine that fits has free resources and its team is under its limit: reservations of machines and of a
- * team's limit give way to a job that has waited for most of that.
+ * Tracks how long jobs have had no task on any machine. Except during failures, no job may wait for [MAX_WAIT_S] while
+ * a machine that fits has free resources and the job's team is below its limit. Reservations of machines and of a
+ * team's limit therefore yield to a job that has waited for most of that time.
  *
- * A placement ends the wait only when it has stood for a while: one may be taken back before its task has begun, if
+ * A placement ends the wait only after it has lasted for a while. It may be withdrawn before its task has started, if
  * its machine is to be returned.
  */
 class StarvationTracker {
     private val waitingSinceMs = HashMap<String, Long>()
     private val placedSinceMs = HashMap<String, Long>()
 
-    /** Takes note of the jobs in the view at [nowMs]. */
+    /** Updates the waiting times from the jobs in the view at [nowMs]. */
     fun update(jobs: Collection<Job>, nowMs: Long) {
         val unfinished = jobs.filter { !it.cancelled && !it.complete }
         val ids = unfinished.mapTo(HashSet()) { it.id }
@@ -32,10 +32,10 @@
 
     private fun updatePlaced(id: String, nowMs: Long) {
         val sinceMs = placedSinceMs.getOrPut(id) { nowMs }
-        if (nowMs - sinceMs > MAX_WAIT_S * PLACED_SHARE * MILLIS_PER_SECOND) waitingSinceMs.remove(id)
+        if (nowMs - sinceMs > MAX_WAIT_S * STABLE_PLACEMENT_SHARE * MILLIS_PER_SECOND) waitingSinceMs.remove(id)
     }
 
-    /** Whether [job] has waited so long that no reservation counts against it; never if it seems to be a mistake. */
+    /** Whether [job] has waited so long that it overrides all reservations; never if it crash-loops. */
     fun isStarved(job: Job, nowMs: Long): Boolean {
         if (job.isSuspect || job.placedCount > 0) return false
         val sinceMs = waitingSinceMs[job.id] ?: return false
@@ -43,13 +43,13 @@
     }
 
     private companion object {
-        /** The operators' figure, whatever the deployment. */
+        /** Required by the operators for every deployment. */
         const val MAX_WAIT_S = 90.0
 
-        /** The rest of the wait is for the boot of a machine, or for one more scheduling cycle. */
+        /** A job is starved after this share of [MAX_WAIT_S]; the rest is for a machine's boot or one more cycle. */
         const val STARVED_SHARE = 0.6
 
-        /** A placement that stands for so long has begun, or is about to. */
-        const val PLACED_SHARE = 0.15
+        /** A placement ends the wait after this share of [MAX_WAIT_S]: its task then runs or is about to start. */
+        const val STABLE_PLACEMENT_SHARE = 0.15
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/TaskEvent.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskEvent.kt
@@ -1,26 +1,26 @@
 package flaxfield.jobs
 
-/** What is proven about one attempt of a task, to be committed to its job's record. */
+/** A confirmed fact about one attempt of a task, to be committed to its job's record. */
 sealed interface TaskEvent {
     val job: String
     val index: Int
     val attempt: Long
 
-    /** The attempt ran to its end. */
+    /** The attempt ran to completion. */
     data class Completed(override val job: String, override val index: Int, override val attempt: Long) : TaskEvent
 
-    /** The attempt is surely not on [machineName] any more and did not complete. */
+    /** The attempt is certainly no longer on [machineName], and is not known to have completed. */
     data class Lost(
         override val job: String,
         override val index: Int,
         override val attempt: Long,
         val machineName: String,
         val reason: String,
-        /** It ended with an error of its own. */
+        /** Whether it ended with an error of its own. */
         val failed: Boolean,
-        /** Its worker refused to start it: it never ran there. */
+        /** Whether its worker refused to start it, so that it never ran there. */
         val refused: Boolean = false,
-        /** Whether it may have run to its end before it was gone: nobody has heard how it ended. */
+        /** Whether it may have completed before it left the machine: no controller received its outcome. */
         val outcomeUnknown: Boolean = false,
     ) : TaskEvent
 }
--- a/src/main/kotlin/flaxfield/jobs/TaskId.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskId.kt
@@ -1,4 +1,4 @@
 package flaxfield.jobs
 
-/** One task of one job, by its index in the job. */
+/** Identifies a task by the id of its job and its index in the job. */
 data class TaskId(val job: String, val index: Int)
--- a/src/main/kotlin/flaxfield/settings/Address.kt
+++ b/src/main/kotlin/flaxfield/settings/Address.kt
@@ -9,12 +9,12 @@
     companion object {
         private const val MAX_PORT = 65_535
 
-        /** Parses `host:port`; throws [MalformedException] if it is not one. */
+        /** Parses `host:port`; throws [MalformedException] if [text] has another form. */
         fun parse(text: String): Address {
-            val at = text.lastIndexOf(':')
-            val port = if (at > 0) text.substring(at + 1).toIntOrNull() else null
+            val colonIndex = text.lastIndexOf(':')
+            val port = if (colonIndex > 0) text.substring(colonIndex + 1).toIntOrNull() else null
             if (port == null || port !in 1..MAX_PORT) throw MalformedException("'$text' is not host:port")
-            return Address(text.substring(0, at), port)
+            return Address(text.substring(0, colonIndex), port)
         }
     }
 }
--- a/src/main/kotlin/flaxfield/settings/OperatorSettings.kt
+++ b/src/main/kotlin/flaxfield/settings/OperatorSettings.kt
@@ -5,15 +5,15 @@
 import java.io.IOException
 import java.util.Properties
 
-/** The operators' own settings: a Java properties file, validated key by key at start. */
+/** The operators' own settings: a Java properties file, validated key by key at startup. */
 data class OperatorSettings(
-    /** For how many boot times of their type idle machines are kept before they are returned. */
+    /** How long idle machines are kept before they are returned, as a multiple of their type's boot time. */
     val keepIdleBoots: Double = 0.8,
     /** Spare machines per gang class, as a multiple of the class's demand during one boot and image fetch. */
     val spareFactor: Double = 0.5,
-    /** The same for classes of arrays that may run on preemptible machines. */
+    /** The same factor for classes of arrays that may run on preemptible machines. */
     val arraySpareFactor: Double = 0.0,
-    /** How many commands the owner thread's queue holds before requests are refused. */
+    /** The capacity of the owner thread's command queue; requests beyond it are refused. */
     val queueCommands: Int = 512,
     /** How many finished jobs are cached in memory; older ones are read from the state service. */
     val finishedCache: Int = 5_000,
@@ -21,7 +21,7 @@
     val zoneRecovery: Boolean = false,
 ) {
     companion object {
-        /** Reads the file at [path]; throws [MalformedException] that names an unknown key or an invalid value. */
+        /** Reads the file at [path]; throws a [MalformedException] that names an unknown key or an invalid value. */
         fun load(path: String): OperatorSettings {
             val properties = Properties()
             try {
@@ -34,7 +34,7 @@
             return of(properties.stringPropertyNames().associateWith { properties.getProperty(it).trim() })
         }
 
-        /** The settings with these [values] of properties, and defaults for the others. */
+        /** Returns the settings with the properties in [values], and with defaults for all others. */
         fun of(values: Map<String, String>): OperatorSettings {
             var result = OperatorSettings()
             for ((key, value) in values.toSortedMap()) result = result.with(key, value)
--- a/src/main/kotlin/flaxfield/settings/Settings.kt
+++ b/src/main/kotlin/flaxfield/settings/Settings.kt
@@ -18,7 +18,13 @@
 /** A service-level objective: [share] of the jobs of [jobClass] start or finish within [withinS]. */
 data class Objective(val kind: String, val jobClass: String, val withinS: Double, val share: Double)
 
-/** Intervals and timeouts of the workers' protocol, in seconds. */
+/**
+ * Intervals and timeouts of the workers' protocol, in seconds.
+ *
+ * @property heartbeatIntervalS the interval between two heartbeats of a worker
+ * @property leaseS how long a worker may run tasks after it has sent a heartbeat that renews its lease
+ * @property cancelS how long a task may run on after the cancellation of its job was confirmed
+ */
 data class WorkerTimes(
     val heartbeatIntervalS: Double,
     val leaseS: Double,
@@ -27,10 +33,16 @@
     val cancelS: Double,
 )
 
-/** Limits of the state service: requests and writes a second, the size of a value, the operations of a transaction. */
+/** Limits of the state service: requests and writes per second, KiB per value, and operations per transaction. */
 data class StateLimits(val rps: Double, val writeRps: Double, val valueKb: Double, val txnOps: Int)
 
-/** The platform's settings file, parsed and validated. */
+/**
+ * The platform's settings file, parsed and validated.
+ *
+ * @property size the number of controllers
+ * @property cloudRps the rate limit of the cloud, in requests per second
+ * @property listLagS how far the cloud's list of machines may lag, in seconds
+ */
 data class Settings(
     val nodeName: String,
     val zone: String,
@@ -47,11 +59,11 @@
     val cloudRps: Double,
     val listLagS: Double,
     val maxSockets: Int,
-    /** How many zones the deployment's machines are in. */
+    /** The number of zones that the deployment's machines are in. */
     val zones: Int = 1,
 ) {
     companion object {
-        /** Reads the file at [path]; throws [MalformedException] with a message of one line if it is invalid. */
+        /** Reads the file at [path]; throws [MalformedException] with a one-line message if it is invalid. */
         fun load(path: String): Settings {
             val bytes = try {
                 File(path).readBytes()
@@ -65,7 +77,7 @@
             }
         }
 
-        /** The settings in an already decoded file; unknown fields are ignored. */
+        /** Returns the settings in an already decoded file; unknown fields are ignored. */
         fun of(file: FieldMap): Settings = SettingsParser.parse(file)
     }
 }
--- a/src/main/kotlin/flaxfield/settings/SettingsParser.kt
+++ b/src/main/kotlin/flaxfield/settings/SettingsParser.kt
@@ -5,14 +5,14 @@
 
 /** Parses the platform's settings file; throws [MalformedException] for the first field that is missing or invalid. */
 internal object SettingsParser {
-    /** A start takes some 0.7 s of a core: with less than this it would take longer than a minute. */
+    /** Startup takes about 0.7 s of CPU time: with a smaller share of a core it would take longer than a minute. */
     private const val MIN_CPU_SHARE = 0.01
 
-    /** What a process without machines takes, with the smallest heap. */
+    /** The memory that a process without machines needs, with the smallest heap. */
     private const val MIN_MEMORY_MB = 80.0
-    private const val DEFAULT_SOCKETS = 1024
+    private const val DEFAULT_MAX_SOCKETS = 1024
 
-    /** Listeners, the state service, the cloud, the peers, open files, and a few incoming connections. */
+    /** Enough for listeners, the state service, the cloud, peers, open files, and a few incoming connections. */
     private const val MIN_SOCKETS = 64
 
     fun parse(file: FieldMap): Settings {
@@ -77,18 +77,18 @@
         txnOps = positive(fields, "txn_ops").toInt(),
     )
 
-    /** The process's limit of sockets; it needs some itself before it can serve anyone. */
+    /** Returns the process's socket limit, which must leave some for incoming connections. */
     private fun maxSockets(quota: FieldMap?): Int {
-        if (quota?.map?.get("fd_limit") == null) return DEFAULT_SOCKETS
+        if (quota?.map?.get("fd_limit") == null) return DEFAULT_MAX_SOCKETS
         val sockets = quota.int("fd_limit") ?: throw MalformedException("fd_limit is invalid")
         if (sockets < MIN_SOCKETS) throw MalformedException("fd_limit must be at least $MIN_SOCKETS")
         return sockets
     }
 
-    /** Checks a share of the machine, if the file has it: with less, the process would be killed or never be ready. */
+    /** Checks a resource limit if the file sets it: with less, the process would be killed or never become ready. */
     private fun requireAtLeast(quota: FieldMap?, key: String, minimum: Double) {
         if (quota?.map?.get(key) == null) return
-        // Written so that NaN is refused.
+        // The negated comparison also rejects NaN.
         if (!(quota.requireNumber(key) >= minimum)) throw MalformedException("$key must be at least $minimum")
     }
 
