--- a/src/main/kotlin/flaxfield/membership/Member.kt
+++ b/src/main/kotlin/flaxfield/membership/Member.kt
@@ -1,7 +1,7 @@
 package flaxfield.membership
 
-/** One run of one controller process: its name, the random [incarnation] drawn at its start, and its zone. */
+/** A controller process: its name, the random [incarnation] that it generates at startup, and its zone. */
 data class Member(val name: String, val incarnation: String, val zone: String) {
-    /** Whether [other] is the same run of the same process; its zone does not matter. */
+    /** Whether [other] has the same name and incarnation; the zone is ignored. */
     fun isSameProcess(other: Member?): Boolean = other != null && other.name == name && other.incarnation == incarnation
 }
--- a/src/main/kotlin/flaxfield/membership/MemberStep.kt
+++ b/src/main/kotlin/flaxfield/membership/MemberStep.kt
@@ -1,13 +1,13 @@
 package flaxfield.membership
 
-/** What a process has to write next for membership and leadership to be as they should. */
+/** The next write that a process makes to establish its membership or leadership. */
 sealed interface MemberStep {
-    /** Write its own member key, in place of an earlier run's. */
+    /** Writes this process's member key, replacing that of an earlier run. */
     data object Join : MemberStep
 
-    /** Take the leader's key, which is absent or held by an earlier run of this very process. */
+    /** Takes the leader key, which is absent or held by an earlier run of this process. */
     data object Lead : MemberStep
 
-    /** As the leader, begin a new term with [members]. */
+    /** Starts a new term with [members], as the leader. */
     data class Assign(val members: List<Member>) : MemberStep
 }
--- a/src/main/kotlin/flaxfield/membership/RendezvousHash.kt
+++ b/src/main/kotlin/flaxfield/membership/RendezvousHash.kt
@@ -1,8 +1,8 @@
 package flaxfield.membership
 
 /**
- * Rendezvous (highest random weight) hashing: of several members, the one with the greatest weight for a key owns it,
- * so that a member that goes moves only its own keys. All processes must compute the same weights.
+ * Rendezvous (highest random weight) hashing: the member with the greatest weight for a key owns the key, so that the
+ * loss of a member moves only its own keys. All processes must compute the same weights.
  */
 internal object RendezvousHash {
     private const val FRACTION_SHIFT = 40
@@ -13,7 +13,7 @@
     private const val FINALIZER_2 = 0xc4ceb9fe1a85ec53uL
     private const val FINALIZER_SHIFT = 33
 
-    /** The weight of [member] for [key]. */
+    /** Returns the weight of [member] for [key]. */
     fun weight(key: String, member: String): ULong {
         var hash = FNV_OFFSET
         for (char in key) hash = (hash xor char.code.toULong()) * FNV_PRIME
@@ -22,11 +22,11 @@
         return finalize(hash)
     }
 
-    /** A fraction from 0 until 1 that is the same for a key at all times. */
+    /** Returns a deterministic fraction in [0, 1) for [key]. */
     fun fraction(key: String): Double =
         (weight(key, "") shr FRACTION_SHIFT).toDouble() / (1uL shl (ULong.SIZE_BITS - FRACTION_SHIFT)).toDouble()
 
-    /** FNV leaves the last letters in the low bits: without this, names that end alike would share keys. */
+    /** Mixes the bits: the last characters affect mainly the low bits of an FNV hash, which correlates like names. */
     private fun finalize(hash: ULong): ULong {
         val first = (hash xor (hash shr FINALIZER_SHIFT)) * FINALIZER_1
         val second = (first xor (first shr FINALIZER_SHIFT)) * FINALIZER_2
--- a/src/main/kotlin/flaxfield/membership/ShardAssignment.kt
+++ b/src/main/kotlin/flaxfield/membership/ShardAssignment.kt
@@ -1,19 +1,19 @@
 package flaxfield.membership
 
 /**
- * Which process leads, and which processes share the machines. The version of its key is the [term], which is also the
- * workers' fencing token.
+ * The leader, and the members among which the machines are divided. The [term] is the version of the assignment's key
+ * and also the workers' fencing token.
  */
 data class ShardAssignment(val leader: Member, val members: List<Member>, val term: ULong) {
-    /** Whether [member] is one of the members, in this very run. */
+    /** Whether [member] is one of the members, with the same incarnation. */
     fun has(member: Member): Boolean = members.any { it.isSameProcess(member) }
 
     /**
-     * The member whose shard [machineName] belongs to, by rendezvous hashing; null without members.
+     * Returns the name of the member that owns [machineName], by rendezvous hashing, or null if there are no members.
      *
-     * Members in the machine's own zone come first, so that a zone that is cut off keeps its shards. Where a zone has
-     * fewer members than its share of [zones], only as many of its machines stay there as its members can carry; the
-     * rest is spread over the other zones' members.
+     * Members in the machine's zone are preferred, so that a partitioned zone keeps its shards. If a zone has fewer
+     * members than its share of [zones], its members own only as many machines as their share allows. The remaining
+     * machines are spread over the members in other zones.
      */
     fun owner(machineName: String, zone: String, zones: Int): String? {
         val local = members.filter { it.zone == zone }
--- a/src/main/kotlin/flaxfield/workers/DirectCommandSender.kt
+++ b/src/main/kotlin/flaxfield/workers/DirectCommandSender.kt
@@ -6,10 +6,11 @@
 import flaxfield.settings.Address
 
 /**
- * Sends `/do` to workers: halts and pushes of the term only, since such a command may be executed late. Each goes on a
- * connection of its own, at most [maxInFlight] at once: kept open, connections to machines that are gone would take up
- * sockets that other workers report on. A command beyond the limit is not sent: responses to heartbeats carry the same
- * commands, and a silent worker is sent the term again.
+ * Sends `/do` requests to workers. They carry only halts and the term, because such a request may be executed late.
+ *
+ * Each request uses its own connection: pooled connections to terminated machines would take up sockets that other
+ * workers need for their heartbeats. At most [maxInFlight] requests are in flight. A request beyond that limit is not
+ * sent, since the responses to heartbeats carry the same commands and the term is pushed again.
  */
 class DirectCommandSender(
     private val timeoutMs: Long,
@@ -19,15 +20,15 @@
     private var inFlight = 0
 
     /**
-     * Sends [message] to the worker at [address]; false if it is not sent. The response is not used: its heartbeat may
-     * be older than a launch on its way. [post] hands work to the owner thread.
+     * Sends [message] to the worker at [address] and returns whether it was sent. The response is ignored, because the
+     * heartbeat in it may predate a launch that is in flight. [post] runs a callback on the owner thread.
      */
     fun send(address: String, message: Map<String, Any?>, post: (() -> Unit) -> Unit): Boolean {
         if (inFlight >= maxInFlight) return false
         val parsed = try {
             Address.parse(address)
         } catch (ignored: MalformedException) {
-            // The worker reports its address itself: an invalid one means only that nothing can be sent there.
+            // The worker itself reports its address, so an invalid one is not an error of this controller.
             return false
         }
         inFlight++
--- a/src/main/kotlin/flaxfield/workers/FaultDetector.kt
+++ b/src/main/kotlin/flaxfield/workers/FaultDetector.kt
@@ -6,20 +6,20 @@
 import flaxfield.jobs.TaskEvent
 import org.slf4j.LoggerFactory
 
-/** Why a machine is taken as faulty. A verdict stands until the machine is returned. */
+/** The reason why a machine counts as faulty. It then counts as faulty until it is returned to the cloud. */
 enum class FaultReason { TASKS_FAIL_ONLY_HERE, RESPONSES_NOT_RECEIVED }
 
 /**
- * Decides which machines are faulty: by the tasks that fail there, and by responses that do not reach the worker. The
- * evidence and the verdict are in [WorkerState]. A faulty machine gets no new work and is returned; its tasks leave
- * only on proof that they ended.
+ * Detects faulty machines from tasks that fail there and from responses that do not reach the worker. The evidence and
+ * the verdict are stored in [WorkerState]. A faulty machine gets no new tasks and is returned to the cloud. A task is
+ * placed elsewhere only once its end on the faulty machine is proven.
  */
 internal class FaultDetector(private val context: ControllerContext) {
-    /** Notes what the end of a task tells of its machine. */
+    /** Updates the failure evidence of a machine after one of its tasks has ended. */
     fun recordTaskEvent(event: TaskEvent, workerState: WorkerState) {
-        if (event is TaskEvent.Completed && !workerState.failures.none) workerState.failures = MachineFailures()
+        if (event is TaskEvent.Completed && !workerState.failures.isEmpty) workerState.failures = MachineFailures()
         if (event !is TaskEvent.Lost || !event.failed) return
-        if (workerState.failures.none) {
+        if (workerState.failures.isEmpty) {
             log.info(
                 "event=task_failed job={} task={} machine={} reason=machine_or_job",
                 event.job,
@@ -27,19 +27,19 @@
                 event.machineName,
             )
         }
-        workerState.failures = workerState.failures.failed(event.job, context.nowNs)
+        workerState.failures = workerState.failures.plusFailure(event.job, context.nowNs)
         context.decisions.request()
     }
 
-    /** Judges the failures on a machine as of now; records a fault, or forgets failures that prove nothing. */
-    fun judgeFailures(workerState: WorkerState): FaultVerdict {
-        if (workerState.failures.none) return FaultVerdict.NONE
-        val verdict = workerState.failures.judge(workerState.machineName, context.nowNs) { id ->
+    /** Evaluates the failures on a machine: marks it as faulty, or discards failures that it did not cause. */
+    fun evaluateFailures(workerState: WorkerState): FaultVerdict {
+        if (workerState.failures.isEmpty) return FaultVerdict.NONE
+        val verdict = workerState.failures.evaluate(workerState.machineName, context.nowNs) { id ->
             val job = context.view.jobs[id]
             if (job == null || job.cancelled) {
                 null
             } else {
-                MachineFailures.RetryTrial(job.failedMachines, retryDurationNs(job, workerState))
+                MachineFailures.JobRetry(job.failedMachines, retryDurationNs(job, workerState))
             }
         }
         when (verdict) {
@@ -51,12 +51,13 @@
     }
 
     /**
-     * Takes a machine that our responses do not reach as faulty. Not if the same holds for a large share of
-     * [heardWorkers], those that have reported to us: then the fault is more likely on our side.
+     * Marks a machine as faulty if this controller's responses do not reach it. If a large share of [reportingWorkers],
+     * the workers that send this controller heartbeats, misses responses too, the fault is more likely local and the
+     * machine is not marked.
      */
-    fun markUnreachable(workerState: WorkerState, heardWorkers: List<WorkerState>) {
-        val max = maxOf(1.0, heardWorkers.size * ResponseReachability.MAX_UNREACHABLE_SHARE)
-        if (heardWorkers.count { it.reachability.missed > 0 } > max) return
+    fun markUnreachable(workerState: WorkerState, reportingWorkers: List<WorkerState>) {
+        val max = maxOf(1.0, reportingWorkers.size * ResponseReachability.MAX_UNREACHABLE_SHARE)
+        if (reportingWorkers.count { it.reachability.missedResponses > 0 } > max) return
         markFaulty(workerState, FaultReason.RESPONSES_NOT_RECEIVED)
     }
 
@@ -66,7 +67,7 @@
         context.decisions.request()
     }
 
-    /** How long a job's next attempt may take to fail as well: its launch and the pull of its image, with a margin. */
+    /** Returns how long the job's next attempt may take to fail too: its launch and image pull, with a margin. */
     private fun retryDurationNs(job: Job, workerState: WorkerState): Long {
         val gbPerS = context.view.machineTypes[workerState.heartbeat?.machineType]?.fetchGbPerS ?: 1.0
         val pullS = job.spec.imageGb / gbPerS * CONCURRENT_PULLS
@@ -76,7 +77,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.workers")
 
-        /** Images that are pulled at the same time share the machine's rate. */
+        /** Margin factor: concurrent image pulls share the machine's bandwidth. */
         const val CONCURRENT_PULLS = 1.5
     }
 }
--- a/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
+++ b/src/main/kotlin/flaxfield/workers/HaltDispatcher.kt
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Sends workers what can't wait for their next heartbeat: halts, and the term where they do not report by themselves.
- * Also records which tasks are to stop. Used by the owner thread only.
+ * Sends workers what cannot wait for their next heartbeat: halts, and the term if their heartbeats are overdue. Also
+ * records which tasks must stop. Confined to the owner thread.
  */
 class HaltDispatcher(
     private val context: ControllerContext,
@@ -17,11 +17,14 @@
     private val direct: DirectCommandSender,
 ) {
     private val heartbeatIntervalNs = context.settings.workers.heartbeatIntervalS * NANOS_PER_SECOND
-    private val quietNs = (context.settings.workers.heartbeatIntervalS * QUIET_HEARTBEATS * NANOS_PER_SECOND).toLong()
+    private val heartbeatOverdueNs = (
+        context.settings.workers.heartbeatIntervalS * OVERDUE_HEARTBEAT_INTERVALS *
+            NANOS_PER_SECOND
+        ).toLong()
 
     /**
-     * The cloud takes the machine back soon: tasks with checkpoints are stopped, so that they go on elsewhere. A gang
-     * that is placed on this machine as a whole runs on to the end.
+     * Stops the checkpointing tasks on a machine that the cloud is about to terminate, so that they resume elsewhere. A
+     * gang whose tasks are all on this machine keeps running until the termination.
      */
     fun stopForTerminationNotice(heartbeat: Heartbeat, term: ULong) {
         for (tasks in context.view.on(heartbeat.machineName).groupBy { it.job.id }.values) {
@@ -33,21 +36,25 @@
         }
     }
 
-    /** Records that [tasks] of a job are to stop, or all of a gang; their halts follow from the records. */
+    /**
+     * Records that [tasks] of job [id] must stop; for a gang, all of its tasks. The halts are derived from the records.
+     */
     fun stop(id: String, tasks: List<Int>, term: ULong, reason: String) {
         val job = context.view.jobs[id] ?: return
         if (tasks.isEmpty()) return
         if (job.chunks.keys.any { context.transactions.isWritePending(StoreKeys.chunk(id, it)) }) return
         val stopped = if (job.isGang) job.allPlaced().map { it.index }.toList() else tasks
         val update = JobTransactions.update(job, job.stop(stopped), term)
-        val sent = context.transactions.submit(WriteCause.GANG, JobTransactions.withLossMark(context, update))
-        if (sent) log.info("event=tasks_stopping term={} job={} tasks={} reason={}", term, id, stopped, reason)
+        val submitted = context.transactions.submit(WriteCause.GANG, JobTransactions.withLossMark(context, update))
+        if (submitted) log.info("event=tasks_stopping term={} job={} tasks={} reason={}", term, id, stopped, reason)
     }
 
     /**
-     * Halts at once what the records no longer want, without waiting for the next heartbeat. Tasks of cancelled jobs
-     * are halted also while our lease is over, and where the machine has not reported to us yet: its records and its
-     * last known status suffice. Such a halt is right under any term, and a worker drops it if it knows a newer one.
+     * Sends halts for tasks that must end, without waiting for the next heartbeat.
+     *
+     * Tasks of cancelled jobs are halted even if this process's lease has expired or the machine has not sent it a
+     * heartbeat yet: the records and the last known status of the machine suffice. Such a halt is valid under any term,
+     * and a worker that knows a newer term ignores it.
      */
     fun haltNow() {
         val term = context.view.assignment?.term ?: return
@@ -73,7 +80,7 @@
         val halts = HeartbeatReconciler.directHalts(
             context.view.on(machineName),
             workerState.heartbeat,
-            isQuiet(workerState),
+            isHeartbeatOverdue(workerState),
             mayAct,
         )
         if (halts.isEmpty() || !sendDirect(workerState, term, halts)) return
@@ -81,41 +88,44 @@
         log.debug("event=direct_halt term={} machine={} commands={}", term, machineName, halts)
     }
 
-    private fun isQuiet(workerState: WorkerState): Boolean = context.nowNs - workerState.lastHeartbeatNs >
-        context.settings.workers.heartbeatIntervalS * QUIET_HEARTBEATS * NANOS_PER_SECOND
+    private fun isHeartbeatOverdue(workerState: WorkerState): Boolean = context.nowNs - workerState.lastHeartbeatNs >
+        context.settings.workers.heartbeatIntervalS * OVERDUE_HEARTBEAT_INTERVALS * NANOS_PER_SECOND
 
-    /** Pushes the term to silent workers, while this process may act. */
+    /** Pushes the term to workers whose heartbeats are overdue, while this process may act. */
     fun tick() {
         workerHealth.observeTerm()
         val term = context.leadership.term() ?: return
         if (context.leadership.mayAct()) pushTerm(term)
     }
 
-    /** Sends our workers the term when they do not report: a controller that is cut off may be answering them. */
+    /**
+     * Pushes the term to the workers of this shard whose heartbeats are overdue: a partitioned controller may be
+     * responding to them.
+     */
     private fun pushTerm(term: ULong) {
         for (machine in context.shards.ownedMachines()) {
             val workerState = workerHealth.workerState(machine.name)
             val sinceNs = maxOf(workerState.lastHeartbeatNs, workerHealth.ownerSinceNs, workerState.termPushedNs)
-            if (context.nowNs - sinceNs < quietNs) continue
+            if (context.nowNs - sinceNs < heartbeatOverdueNs) continue
             if (!sendDirect(workerState, term, emptyList())) continue
             workerState.termPushedNs = context.nowNs
             log.debug("event=term_pushed term={} machine={}", term, machine.name)
         }
     }
 
-    /** Whether [commands] were sent: not if the worker's address is not known, or too many are being sent. */
+    /** Sends [commands]; returns false if the worker's address is unknown or too many requests are in flight. */
     private fun sendDirect(workerState: WorkerState, term: ULong, commands: List<WorkerCommand>): Boolean {
-        val worker = endpointOf(workerState) ?: return false
-        val message = HeartbeatCodec.encodeDirect(term, worker.incarnation, commands)
-        return direct.send(worker.address, message, context.post)
+        val endpoint = endpointOf(workerState) ?: return false
+        val message = HeartbeatCodec.encodeDirect(term, endpoint.incarnation, commands)
+        return direct.send(endpoint.address, message, context.post)
     }
 
-    /** Where a worker is to be reached, and the incarnation that a command is meant for. */
+    /** The address of a worker and the incarnation that a command is addressed to. */
     private class WorkerEndpoint(val address: String, val incarnation: ULong)
 
     /**
-     * What the worker last reported to us or, if that is newer, to an earlier owner: the first heartbeat that we
-     * receive may be a late copy.
+     * Returns the endpoint from the worker's latest heartbeat, or from the status that an earlier owner stored if that
+     * one is newer: the first heartbeat received here may be a delayed duplicate.
      */
     private fun endpointOf(workerState: WorkerState): WorkerEndpoint? {
         val heartbeat = workerState.heartbeat
@@ -133,7 +143,7 @@
     private companion object {
         val log = LoggerFactory.getLogger("flaxfield.workers")
 
-        /** A worker that has not reported for this many heartbeat intervals is sent the term. */
-        const val QUIET_HEARTBEATS = 2.0
+        /** A worker's heartbeat is overdue after this many heartbeat intervals. */
+        const val OVERDUE_HEARTBEAT_INTERVALS = 2.0
     }
 }
--- a/src/main/kotlin/flaxfield/workers/HaltTracker.kt
+++ b/src/main/kotlin/flaxfield/workers/HaltTracker.kt
@@ -1,19 +1,20 @@
 package flaxfield.workers
 
 /**
- * Immutable, without side effects: how often a worker has shown tasks of cancelled jobs although it was told to halt
- * them. A worker that receives a response carries out its commands, so the count should stay low. If it does not, only
- * the end of the worker's lease can still keep `cancel_s`.
+ * Counts the halts of cancelled tasks that a worker was sent and that had no effect. Immutable.
+ *
+ * A worker executes the commands of every response that it receives, so the counts should stay low. Otherwise, only
+ * the expiry of the worker's lease can still meet the `cancel_s` limit.
  */
 data class HaltTracker(
     private val incarnation: ULong = 0uL,
     private val sequenceNumber: ULong = 0uL,
-    private val timesSent: Map<WorkerCommand.Halt, Int> = emptyMap(),
+    private val haltCounts: Map<WorkerCommand.Halt, Int> = emptyMap(),
 ) {
-    /** After [heartbeat], which is answered with [halts]. A copy of an old heartbeat changes nothing. */
-    fun answered(heartbeat: Heartbeat, halts: List<WorkerCommand.Halt>): HaltTracker {
-        if (!heartbeat.newerThan(incarnation, sequenceNumber)) return this
-        val before = if (heartbeat.incarnation == incarnation) timesSent else emptyMap()
+    /** Returns the state after [heartbeat] is answered with [halts]; a delayed duplicate changes nothing. */
+    fun afterResponse(heartbeat: Heartbeat, halts: List<WorkerCommand.Halt>): HaltTracker {
+        if (!heartbeat.isNewerThan(incarnation, sequenceNumber)) return this
+        val before = if (heartbeat.incarnation == incarnation) haltCounts else emptyMap()
         return HaltTracker(
             heartbeat.incarnation,
             heartbeat.sequenceNumber,
@@ -21,10 +22,10 @@
         )
     }
 
-    /** Whether halts had no effect more often than lost responses explain. */
-    val haltsAreIgnored: Boolean get() = timesSent.values.any { it > MAX_SENT }
+    /** Whether halts had no effect more often than lost responses can explain. */
+    val haltsAreIgnored: Boolean get() = haltCounts.values.any { it > MAX_HALTS_WITHOUT_EFFECT }
 
     private companion object {
-        const val MAX_SENT = 3
+        const val MAX_HALTS_WITHOUT_EFFECT = 3
     }
 }
--- a/src/main/kotlin/flaxfield/workers/Heartbeat.kt
+++ b/src/main/kotlin/flaxfield/workers/Heartbeat.kt
@@ -1,20 +1,20 @@
 package flaxfield.workers
 
-/** What a task does on its machine, as its worker reports. */
+/** The state of a task on its machine, as its worker reports it. */
 enum class TaskState {
-    /** Its image is being pulled. */
+    /** Pulling its image. */
     PULLING,
 
-    /** It waits for the other tasks of its gang. */
+    /** Waiting for the other tasks of its gang. */
     GATHERING,
     RUNNING,
 
-    /** It writes a checkpoint before it stops. */
+    /** Writing a checkpoint before it stops. */
     SAVING,
     ENDED,
 }
 
-/** Why a task ended, as its worker reports. */
+/** The reason why a task ended, as its worker reports it. */
 enum class EndCause {
     DONE,
     STOPPED,
@@ -22,24 +22,24 @@
     /** Another task of its gang ended. */
     MATES_GONE,
 
-    /** Its gang was not complete in time. */
+    /** Its gang did not become complete in time. */
     INCOMPLETE,
     ERROR,
 
-    /** Not started: the machine's free resources do not suffice. */
+    /** Not started: the machine has too few free resources. */
     NO_ROOM,
 
-    /** Not started: the task is on this machine with another attempt. */
+    /** Not started: another attempt of the task is on this machine. */
     IN_USE,
 
     /** Not started: the worker knows no such job or task. */
     UNKNOWN,
 }
 
-/** One task on a machine, as its worker reports it; [cause] is set if and only if it has ended. */
+/** The status of one task on a machine, as its worker reports it; [cause] is set if and only if the task has ended. */
 data class TaskStatus(val job: String, val index: Int, val attempt: ULong, val state: TaskState, val cause: EndCause?)
 
-/** What a worker reports of itself at one moment; (`incarnation`, `sequenceNumber`) orders the moments. */
+/** A worker's report on its machine and tasks. A worker's heartbeats are ordered by (incarnation, sequence number). */
 data class Heartbeat(
     val machineName: String,
     val address: String,
@@ -50,11 +50,11 @@
     val sequenceNumber: ULong,
     /** The latest term that the worker knows; 0 if none. */
     val fencingToken: ULong,
-    /** Seconds until the cloud takes the machine back; null without a notice. */
+    /** Seconds until the cloud terminates the machine; null without a termination notice. */
     val terminationNoticeS: Double?,
     val tasks: List<TaskStatus>,
 ) {
-    /** Whether it is later than the worker's heartbeat with the given incarnation and sequence number. */
-    fun newerThan(incarnation: ULong, sequenceNumber: ULong): Boolean =
+    /** Whether this heartbeat is newer than the one with the given incarnation and sequence number. */
+    fun isNewerThan(incarnation: ULong, sequenceNumber: ULong): Boolean =
         this.incarnation > incarnation || (this.incarnation == incarnation && this.sequenceNumber > sequenceNumber)
 }
--- a/src/main/kotlin/flaxfield/workers/HeartbeatCodec.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatCodec.kt
@@ -6,8 +6,8 @@
 import flaxfield.jobs.JobCodec
 
 /**
- * Wire forms of heartbeats and of the commands that answer them. The workers' field names appear only here.
- * Heartbeats are read field by field, without an intermediate map: they come by the hundred a second.
+ * Converts heartbeats and worker commands from and to their wire format. The field names of the worker protocol appear
+ * only here. Heartbeats are decoded without an intermediate map, because hundreds of them arrive per second.
  */
 object HeartbeatCodec {
     private val states = mapOf(
@@ -37,7 +37,7 @@
         return fields.build()
     }
 
-    /** The fields of a heartbeat as they are read; a later one of the same name replaces an earlier one. */
+    /** Collects the fields of a heartbeat as they are decoded; a repeated field replaces the earlier one. */
     private class HeartbeatFields {
         private var machineName: String? = null
         private var address: String? = null
@@ -95,20 +95,20 @@
         val (job, index) = JobCodec.parseTaskId(name ?: missing("shard"))
             ?: throw MalformedException("shard is invalid")
         val state = states[phase] ?: throw MalformedException("phase is invalid")
-        // An unknown cause is an end all the same: the task is taken as failed on its machine.
+        // The task has ended even if the cause is unknown; it then counts as failed on its machine.
         val cause = if (state == TaskState.ENDED) causes[causeName] ?: EndCause.ERROR else null
         return TaskStatus(job, index, attempt ?: missing("try"), state, cause)
     }
 
     private fun missing(field: String): Nothing = throw MalformedException("$field is missing or invalid")
 
-    /** The response to a heartbeat: the term as the worker's fencing token, and its commands. */
+    /** Encodes the response to a heartbeat: the term as the worker's fencing token, and the commands. */
     fun encode(fencingToken: ULong, commands: List<WorkerCommand>): Map<String, Any?> = mapOf(
         "epoch" to fencingToken,
         "orders" to commands.map(::encodeCommand),
     )
 
-    /** A message that is sent without a heartbeat; the worker ignores it under another [incarnation]. */
+    /** Encodes a direct command, sent without a heartbeat; a worker of another [incarnation] ignores it. */
     fun encodeDirect(fencingToken: ULong, incarnation: ULong, commands: List<WorkerCommand>): Map<String, Any?> =
         encode(fencingToken, commands) + mapOf("tenure" to incarnation)
 
--- a/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
@@ -7,9 +7,9 @@
 import flaxfield.peers.PeerGateway
 
 /**
- * Entry point of workers' heartbeats: decodes one and hands it to whoever may answer it. That is
- * [OwnedHeartbeatHandler] for machines of this controller's shard, [MisroutedHeartbeatHandler] for those of another
- * shard, and this class itself while there is no term to act under. Used by the owner thread only.
+ * Decodes workers' heartbeats and dispatches them. [OwnedHeartbeatHandler] handles the machines of this controller's
+ * shard, [MisroutedHeartbeatHandler] those of other shards. Without a current term, this class responds itself.
+ * Confined to the owner thread.
  */
 class HeartbeatHandler(
     private val context: ControllerContext,
@@ -22,7 +22,7 @@
     private val owned = OwnedHeartbeatHandler(context, taskEvents, workerHealth, haltDispatcher, responses)
     private val misrouted = MisroutedHeartbeatHandler(context, peers, workerHealth, responses)
 
-    /** Handles a heartbeat that a worker sent to this controller; a malformed one is answered with 400. */
+    /** Handles a heartbeat that a worker sent to this controller; responds with 400 if it is malformed. */
     fun heartbeat(body: ByteArray, responder: Responder) {
         val heartbeat = try {
             HeartbeatCodec.decode(body)
@@ -34,7 +34,7 @@
         val workerState = workerHealth.workerState(heartbeat.machineName)
         when {
             assignment == null || heartbeat.fencingToken > assignment.term || term == null ->
-                answerWithoutTerm(heartbeat, responder)
+                respondWithoutTerm(heartbeat, responder)
             context.shards.owns(heartbeat.machineName, heartbeat.zone) ->
                 owned.handle(heartbeat, workerState, term, responder)
             else -> misrouted.handle(heartbeat, workerState, body, term, responder)
@@ -42,9 +42,8 @@
     }
 
     /**
-     * Handles a heartbeat that a peer forwarded instead of redirecting its worker to this controller. It is never
-     * redirected a second time: without a term, or if the machine is not ours, it gets no response, and the peer's
-     * request expires.
+     * Handles a heartbeat that a peer forwarded on behalf of a worker. It is never redirected again: without a term, or
+     * if this controller does not own the machine, it gets no response and the peer's request times out.
      */
     fun forwardedHeartbeat(body: ByteArray, responder: Responder) {
         val heartbeat = try {
@@ -59,27 +58,29 @@
     }
 
     /**
-     * This process is not a member (yet), or its view is behind the worker's fencing token. While the state service
-     * does not respond, an outage can't be told from this process alone being refused: the lease is renewed under the
-     * worker's own token, as long as [LeaseRenewalPolicy] allows. The same holds while there is no leader: after a
-     * restart of all controllers no owner exists to redirect the worker to, and its lease must outlast the election.
+     * Responds while this process is not a member, or while its view is behind the worker's fencing token.
+     *
+     * While the state service does not respond, this process cannot tell an outage from a loss of its own access. It
+     * therefore renews the lease under the worker's own token, as long as [LeaseRenewalPolicy] allows. It does the same
+     * while there is no leader: after a restart of all controllers there is no owner to redirect the worker to, and the
+     * lease must outlast the election.
      */
-    private fun answerWithoutTerm(heartbeat: Heartbeat, responder: Responder) {
+    private fun respondWithoutTerm(heartbeat: Heartbeat, responder: Responder) {
         val viewIsBehind = context.view.assignment?.let { heartbeat.fencingToken > it.term } ?: false
-        val storeIsSilent = context.storeContact.isSilent(context.settings.workers.leaseS)
-        if (!viewIsBehind && (storeIsSilent || leaderIsGone()) && responses.mayRenew()) {
+        val storeIsUnresponsive = context.storeContact.isSilent(context.settings.workers.leaseS)
+        if (!viewIsBehind && (storeIsUnresponsive || isLeaderless()) && responses.mayRenew()) {
             return responses.renewWithoutDecision(heartbeat, heartbeat.fencingToken, responder)
         }
         val owner = context.shards.owner(heartbeat.machineName, heartbeat.zone)
         if (owner != null && owner != context.self.name) {
             responses.redirect(owner, responder)
         } else {
-            responses.redirectAnywhere(responder)
+            responses.redirectWithoutOwner(responder)
         }
     }
 
-    /** Whether there has been an assignment whose leader is gone, and none since. */
-    private fun leaderIsGone(): Boolean {
+    /** Whether the leader of the latest assignment no longer leads. */
+    private fun isLeaderless(): Boolean {
         val assignment = context.view.assignment ?: return false
         return !assignment.leader.isSameProcess(context.view.leader)
     }
--- a/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatReconciler.kt
@@ -5,26 +5,26 @@
 import flaxfield.jobs.TaskId
 import flaxfield.store.PlacedTask
 
-/** What a heartbeat leads to: commands for its worker, and events to be committed to the job records. */
+/** The result of a reconciliation: commands for the worker, and events to commit to the job records. */
 data class ReconcileResult(val commands: List<WorkerCommand>, val events: List<TaskEvent>)
 
 /**
- * Reconciles a worker's heartbeat with the task records: the records are the desired state, the heartbeat is the
- * observed one. Pure functions.
+ * Reconciles a worker's heartbeat with the task records. The records are the desired state, the heartbeat is the
+ * observed state. All functions are pure.
  */
 object HeartbeatReconciler {
     /**
-     * How many task records a machine may have. A heartbeat lists as many tasks again that have ended and are not
-     * cleared yet, some 70 bytes each, and a message must fit 64 KiB: a larger one is lost, and the lease with it.
+     * The maximum number of task records per machine. A heartbeat can list as many ended tasks again that are not yet
+     * cleared, at about 70 bytes per task. A heartbeat above 64 KiB would be lost, and the lease would expire.
      */
     const val MAX_TASKS = 300
 
     /**
-     * Decides what follows from [heartbeat].
+     * Returns the commands and events that result from [heartbeat].
      *
      * @param records all task records on the machine
-     * @param term the current term; a heartbeat under another fencing token proves no absence
-     * @param mayLaunch whether this process's own lease is surely valid and the machine is kept
+     * @param term the current term; a heartbeat with another fencing token does not prove that a task is absent
+     * @param mayLaunch whether this process's lease is valid, its view is fresh and the machine is not being retired
      */
     fun decide(heartbeat: Heartbeat, records: List<PlacedTask>, term: ULong, mayLaunch: Boolean): ReconcileResult {
         val commands = ArrayList<WorkerCommand>()
@@ -47,8 +47,8 @@
         }
         for (record in records) {
             if (idOf(record) in reported) continue
-            lossOfAbsent(record, heartbeat, term)?.let { events += it }
-            if (mayLaunch && isToLaunch(record, heartbeat)) commands += launch(record)
+            lossOfAbsentTask(record, heartbeat, term)?.let { events += it }
+            if (mayLaunch && mustLaunch(record, heartbeat)) commands += launch(record)
         }
         return ReconcileResult(commands, events)
     }
@@ -57,7 +57,7 @@
 
     private fun attemptOf(record: PlacedTask) = record.placed.attempt.toULong()
 
-    /** A task without a record: either its end is committed, or it must not run here. */
+    /** Returns the command for a task without a record: its end is already committed, or it must not run here. */
     private fun commandForUnrecorded(task: TaskStatus): WorkerCommand = if (task.state == TaskState.ENDED) {
         WorkerCommand.Clear(task.job, task.index, task.attempt)
     } else {
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Halts for tasks of jobs that the view has as cancelled, and nothing else: such a command is right under any term
-     * and without a lease.
+     * Returns halts for the reported tasks of cancelled jobs only. Such a halt is valid under any term and without a
+     * lease of this process.
      */
     fun cancellationHalts(heartbeat: Heartbeat, records: List<PlacedTask>): List<WorkerCommand> {
         val cancelledById = records.filter { it.job.cancelled }.associateBy(::idOf)
@@ -96,13 +96,14 @@
     }
 
     /**
-     * What to halt now by a direct command. A task that [heartbeat] does not show may be on its way to the machine, or
-     * have been started by the response of an earlier owner: if the machine is [quiet] it is halted by its record.
+     * Returns the halts to send as a direct command. A cancelled task that is missing from [heartbeat] may have a
+     * launch in flight, or an earlier owner may have launched it. With [heartbeatOverdue], the halt is based on the
+     * task's record.
      */
     fun directHalts(
         records: List<PlacedTask>,
         heartbeat: Heartbeat?,
-        quiet: Boolean,
+        heartbeatOverdue: Boolean,
         mayStop: Boolean,
     ): List<WorkerCommand.Halt> = records.mapNotNull { record ->
         val job = record.job
@@ -112,12 +113,12 @@
         }
         when {
             task != null -> if (task.state == TaskState.ENDED) null else halt(task, record)
-            job.cancelled && quiet -> WorkerCommand.Halt(job.id, record.placed.index, attemptOf(record), 0.0)
+            job.cancelled && heartbeatOverdue -> WorkerCommand.Halt(job.id, record.placed.index, attemptOf(record), 0.0)
             else -> null
         }
     }
 
-    /** The halt that a task on its machine should get, or null if it is to go on. */
+    /** Returns the halt for a reported task, or null if the task needs none. */
     private fun halt(task: TaskStatus, record: PlacedTask): WorkerCommand.Halt? {
         val gracePeriodS = when {
             record.job.cancelled -> 0.0
@@ -127,15 +128,16 @@
         return WorkerCommand.Halt(task.job, task.index, task.attempt, gracePeriodS)
     }
 
-    /** What the absence of a recorded task from [heartbeat] proves; null if nothing. */
-    private fun lossOfAbsent(record: PlacedTask, heartbeat: Heartbeat, term: ULong): TaskEvent.Lost? {
+    /** Returns the loss that the absence of a recorded task from [heartbeat] proves, or null if it proves none. */
+    private fun lossOfAbsentTask(record: PlacedTask, heartbeat: Heartbeat, term: ULong): TaskEvent.Lost? {
         val placed = record.placed
         return when {
-            // A newer incarnation: the worker has killed and forgotten all that it had.
+            // A worker kills and forgets all of its tasks when it starts a new incarnation.
             heartbeat.incarnation > placed.incarnation ->
                 lost(record, heartbeat, "tenure ${heartbeat.incarnation}", outcomeUnknown = true)
-            heartbeat.incarnation < placed.incarnation || !isToEnd(record) -> null
-            // Launches of earlier terms can't arrive any more, and ours have been answered: it is not here.
+            heartbeat.incarnation < placed.incarnation || !mustEnd(record) -> null
+            // The worker rejects launches of earlier terms by now, and those of this term were delivered or lost before
+            // this heartbeat was sent, so the task is not on the machine.
             heartbeat.fencingToken == term -> lost(record, heartbeat, "absent", outcomeUnknown = false)
             else -> null
         }
@@ -152,22 +154,22 @@
             outcomeUnknown = outcomeUnknown,
         )
 
-    private fun isToEnd(record: PlacedTask): Boolean = record.job.cancelled || record.placed.stopping
+    private fun mustEnd(record: PlacedTask): Boolean = record.job.cancelled || record.placed.stopping
 
-    private fun isToLaunch(record: PlacedTask, heartbeat: Heartbeat): Boolean =
-        heartbeat.incarnation == record.placed.incarnation && !isToEnd(record)
+    private fun mustLaunch(record: PlacedTask, heartbeat: Heartbeat): Boolean =
+        heartbeat.incarnation == record.placed.incarnation && !mustEnd(record)
 
     private fun launch(record: PlacedTask) = WorkerCommand.Launch(record.job.id, record.placed.index, attemptOf(record))
 
-    /** Why a worker does not start a task at all. */
+    /** The causes with which a worker refuses to start a task. */
     private val REFUSALS = setOf(EndCause.NO_ROOM, EndCause.IN_USE, EndCause.UNKNOWN)
 
-    /** Enough for the task to save a checkpoint, if it has any. */
+    /** Returns the time that a task of [job] needs to save a checkpoint, or 0 if it saves none. */
     private fun gracePeriodS(job: Job): Double {
         val savesCheckpoints = job.spec.checkpointIntervalS > 0.0
         return if (savesCheckpoints) job.spec.checkpointDurationS * CHECKPOINT_MARGIN else 0.0
     }
 
-    /** A checkpoint may take a little longer than the job's specification says. */
+    /** Margin factor: a checkpoint may take longer than the job's specification states. */
     private const val CHECKPOINT_MARGIN = 1.5
 }
--- a/src/main/kotlin/flaxfield/workers/MachineFailures.kt
+++ b/src/main/kotlin/flaxfield/workers/MachineFailures.kt
@@ -1,26 +1,27 @@
 package flaxfield.workers
 
-/** What the tasks that failed on a machine tell of it. */
+/** The conclusion about a machine from the tasks that failed on it. */
 enum class FaultVerdict {
     NONE,
 
-    /** Machine or job may be at fault: nothing more is placed here until the job has been tried elsewhere. */
+    /** The machine or the job may be at fault: nothing is placed here until the job has been retried elsewhere. */
     SUSPECT,
     FAULTY,
 }
 
 /**
- * Immutable, without side effects: whether failures speak against their machine or against their jobs. A job submitted
- * with a mistake fails on every machine, and a faulty machine fails every job, so a single failure decides nothing.
- * Holds the jobs that failed since a task last completed on the machine, and when each first did.
+ * Attributes task failures on a machine either to the machine or to the jobs. Immutable.
+ *
+ * A defective job fails on every machine, and a faulty machine fails every job, so a single failure is inconclusive.
+ * Holds the time of the first failure of each job that has failed since a task last completed on the machine.
  */
 data class MachineFailures(private val firstFailureNs: Map<String, Long> = emptyMap()) {
-    /** Whether there are no failures to judge. */
-    val none: Boolean get() = firstFailureNs.isEmpty()
+    /** Whether there are no failures. */
+    val isEmpty: Boolean get() = firstFailureNs.isEmpty()
 
-    /** Adds a failure of [job]; a job's first failure counts, and only a limited number of jobs is kept. */
-    fun failed(job: String, nowNs: Long): MachineFailures = if (job in firstFailureNs ||
-        firstFailureNs.size >= MAX_JOBS
+    /** Adds a failure of [job]. Only a job's first failure counts, and the number of tracked jobs is limited. */
+    fun plusFailure(job: String, nowNs: Long): MachineFailures = if (job in firstFailureNs ||
+        firstFailureNs.size >= MAX_TRACKED_JOBS
     ) {
         this
     } else {
@@ -28,34 +29,34 @@
     }
 
     /**
-     * Judges the failures on [machineName]. [trialOf] tells, of a job that is not over, where else it failed and how
-     * long its next attempt may take; null if the job is over, and its failure proves nothing any more.
+     * Evaluates the failures on [machineName]. [retryOf] returns the retry of a job that is still active, or null if
+     * the job has finished or was cancelled, in which case its failure is ignored.
      */
-    fun judge(machineName: String, nowNs: Long, trialOf: (String) -> RetryTrial?): FaultVerdict {
+    fun evaluate(machineName: String, nowNs: Long, retryOf: (String) -> JobRetry?): FaultVerdict {
         var failedOnlyHere = 0
         var undecided = 0
         for ((job, sinceNs) in firstFailureNs) {
-            val trial = trialOf(job) ?: continue
-            // It failed elsewhere too: it is the job's mistake, whichever machine comes next.
-            if (trial.failedMachines.any { it != machineName }) continue
+            val retry = retryOf(job) ?: continue
+            // The job has failed on another machine too, so the job is at fault.
+            if (retry.failedMachines.any { it != machineName }) continue
             failedOnlyHere++
-            if (nowNs - sinceNs <= trial.durationNs) undecided++
+            if (nowNs - sinceNs <= retry.durationNs) undecided++
         }
         return when {
-            failedOnlyHere >= MIN_FAULTY_JOBS -> FaultVerdict.FAULTY
+            failedOnlyHere >= MIN_JOBS_FOR_FAULTY -> FaultVerdict.FAULTY
             failedOnlyHere == 0 -> FaultVerdict.NONE
             undecided > 0 -> FaultVerdict.SUSPECT
-            // It has had the time to fail elsewhere, and did not.
+            // The job had enough time to fail elsewhere and did not.
             else -> FaultVerdict.FAULTY
         }
     }
 
-    /** A failed job's [failedMachines] as committed, and how long its next attempt may take to fail elsewhere. */
-    data class RetryTrial(val failedMachines: List<String>, val durationNs: Long)
+    /** The committed [failedMachines] of a failed job, and how long its next attempt may take to fail too. */
+    data class JobRetry(val failedMachines: List<String>, val durationNs: Long)
 
     private companion object {
-        /** With this many jobs that failed nowhere else, the machine is faulty beyond doubt. */
-        const val MIN_FAULTY_JOBS = 2
-        const val MAX_JOBS = 8
+        /** The machine is faulty if this many jobs have failed on it and on no other machine. */
+        const val MIN_JOBS_FOR_FAULTY = 2
+        const val MAX_TRACKED_JOBS = 8
     }
 }
--- a/src/main/kotlin/flaxfield/workers/MisroutedHeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/MisroutedHeartbeatHandler.kt
@@ -7,15 +7,15 @@
 import flaxfield.peers.PeerGateway
 
 /**
- * Answers heartbeats of machines that another controller owns.
+ * Responds to heartbeats of machines that another controller owns.
  *
- * A worker that does not know our term yet learns it here, with its lease renewed, and is redirected to its owner at
- * its next heartbeat: after a restart of all controllers its lease would not last for a search of its owner. The owner
- * then hears it under the present term from the first heartbeat on.
+ * A worker with an older fencing token is given the current term and a renewed lease, and is redirected to its owner at
+ * its next heartbeat. After a restart of all controllers, its lease would not outlast the search for its owner. The
+ * owner then receives heartbeats under the current term from the first one on.
  *
- * A worker that knows our term has already tried its owner, in vain. Redirected again at once it would wait for two
- * request timeouts, longer than its lease: its heartbeats are forwarded to the owner, and it is redirected only now
- * and then.
+ * A worker that knows the current term has already failed to reach its owner. An immediate second redirect would cost
+ * it two request timeouts, which exceed its lease. Its heartbeats are therefore forwarded to the owner, and it is
+ * redirected only at long intervals.
  */
 internal class MisroutedHeartbeatHandler(
     private val context: ControllerContext,
@@ -25,7 +25,7 @@
 ) {
     private val leaseNs = context.settings.workers.leaseS * NANOS_PER_SECOND
 
-    /** Announces the term, redirects, or forwards [body], the encoded form of [heartbeat]. */
+    /** Responds with the term, redirects the worker, or forwards [body], the encoded form of [heartbeat]. */
     fun handle(heartbeat: Heartbeat, workerState: WorkerState, body: ByteArray, term: ULong, responder: Responder) {
         if (heartbeat.fencingToken < term && responses.mayRenew()) {
             workerState.announcedTerm = term
@@ -36,7 +36,7 @@
         }
         val owner = context.shards.owner(heartbeat.machineName, heartbeat.zone)
         val now = context.nowNs
-        if (!wasRedirectedRecently(workerState, now) && !hasLostItsOwner(heartbeat, workerState, term, now)) {
+        if (!wasRedirectedRecently(workerState, now) && !mayForward(heartbeat, workerState, term, now)) {
             workerState.redirectedNs = now
             workerState.forwardedSinceNs = 0L
             workerState.announcedTerm = null
@@ -47,16 +47,19 @@
     }
 
     private fun wasRedirectedRecently(workerState: WorkerState, nowNs: Long): Boolean =
-        workerState.redirectedNs != 0L && nowNs - workerState.redirectedNs < leaseNs * REDIRECT_AGAIN_SHARE
+        workerState.redirectedNs != 0L && nowNs - workerState.redirectedNs < leaseNs * MIN_REDIRECT_INTERVAL_LEASES
 
-    /** Whether the worker has our term from its owner, comes here nevertheless, and has not done so for long. */
-    private fun hasLostItsOwner(heartbeat: Heartbeat, workerState: WorkerState, term: ULong, nowNs: Long): Boolean {
+    /**
+     * Whether the worker has learned the term from its owner but no longer reaches it, and its heartbeats have not been
+     * forwarded for too long.
+     */
+    private fun mayForward(heartbeat: Heartbeat, workerState: WorkerState, term: ULong, nowNs: Long): Boolean {
         if (heartbeat.fencingToken != term || workerState.announcedTerm == term) return false
         val since = workerState.forwardedSinceNs
-        return since == 0L || nowNs - since < leaseNs * FORWARDING_LEASES
+        return since == 0L || nowNs - since < leaseNs * MAX_FORWARDING_LEASES
     }
 
-    /** The owner's response goes back to the worker; without one, the lease is renewed here. */
+    /** Forwards [body] to the owner and relays its response; renews the lease here if there is none. */
     private fun forward(heartbeat: Heartbeat, owner: String?, body: ByteArray, term: ULong, responder: Responder) =
         peers.forwardHeartbeat(owner, body) { status, response ->
             if (response != null) {
@@ -67,10 +70,10 @@
         }
 
     private companion object {
-        /** A worker that returns within this share of its lease after a redirect is not redirected again. */
-        const val REDIRECT_AGAIN_SHARE = 0.75
+        /** The minimum time between two redirects of a worker, in leases. */
+        const val MIN_REDIRECT_INTERVAL_LEASES = 0.75
 
-        /** A worker that lost its owner has its heartbeats forwarded for so many leases before the next redirect. */
-        const val FORWARDING_LEASES = 2.0
+        /** The number of leases for which heartbeats are forwarded before the worker is redirected again. */
+        const val MAX_FORWARDING_LEASES = 2.0
     }
 }
--- a/src/main/kotlin/flaxfield/workers/OwnedHeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/OwnedHeartbeatHandler.kt
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Handles heartbeats of machines in this controller's shard: records what the worker reports, reconciles it with the
- * task records, and responds with the commands that follow.
+ * Handles heartbeats of machines in this controller's shard: records each heartbeat, reconciles it with the task
+ * records, and responds with the resulting commands.
  */
 internal class OwnedHeartbeatHandler(
     private val context: ControllerContext,
@@ -22,20 +22,20 @@
     private val adopter = UnknownMachineAdopter(context, workerHealth)
     private val leaseNs = context.settings.workers.leaseS * NANOS_PER_SECOND
 
-    /** Handles [heartbeat] under the current [term]; a copy of an older one leads to no decision. */
+    /** Handles [heartbeat] under the current [term]; a delayed duplicate leads to no decision. */
     fun handle(heartbeat: Heartbeat, workerState: WorkerState, term: ULong, responder: Responder) {
-        // This process's lease may be over while another controller acts under a newer term: no decisions. The
-        // bound on the view's age limits for how long.
+        // After this process's lease has expired, another controller may act under a newer term, so this one makes no
+        // decisions. The maximum age of the view limits how long it renews leases in that state.
         if (!context.leadership.leaseValid()) return responses.renewWithoutDecision(heartbeat, term, responder)
         val previous = workerState.heartbeat
-        if (previous != null && !heartbeat.newerThan(previous.incarnation, previous.sequenceNumber)) {
+        if (previous != null && !heartbeat.isNewerThan(previous.incarnation, previous.sequenceNumber)) {
             return responses.renewWithoutDecision(heartbeat, term, responder)
         }
         record(heartbeat, workerState, term)
-        if (startsIncarnationOrNotice(previous, heartbeat)) announce(heartbeat, term)
+        if (startsIncarnationOrNotice(previous, heartbeat)) onWorkerChange(heartbeat, term)
         val machine = context.view.machines[heartbeat.machineName]
         if (machine == null) {
-            // A late copy may come from a machine that is long gone: only a worker that knows our term is adopted.
+            // A delayed duplicate may come from a terminated machine: adopt only a worker that knows the current term.
             if (heartbeat.fencingToken == term) adopter.adopt(heartbeat)
             return responses.renewWithoutDecision(heartbeat, term, responder)
         }
@@ -47,20 +47,20 @@
     }
 
     private fun record(heartbeat: Heartbeat, workerState: WorkerState, term: ULong) {
-        workerState.reachability = workerState.reachability.reported(heartbeat, term, context.nowNs, leaseNs)
+        workerState.reachability = workerState.reachability.afterHeartbeat(heartbeat, term, context.nowNs, leaseNs)
         if (workerState.reachability.isUnreachable) workerHealth.markUnreachable(workerState)
         if (workerState.heartbeat == null) workerState.firstHeartbeatNs = context.nowNs
         workerState.heartbeat = heartbeat
-        // Under an older term it may be a late copy, which is no sign of life. Our response brings the worker the
-        // term, and it reports again at once.
-        if (heartbeat.fencingToken == term) workerHealth.recordSignOfLife(workerState, heartbeat.zone)
+        // A heartbeat under an older term may be a delayed duplicate, which does not prove that the worker is alive. A
+        // live worker learns the term from the response and immediately sends another heartbeat.
+        if (heartbeat.fencingToken == term) workerHealth.recordLiveness(workerState, heartbeat.zone)
     }
 
     private fun startsIncarnationOrNotice(previous: Heartbeat?, current: Heartbeat): Boolean = previous == null ||
         previous.incarnation != current.incarnation ||
         previous.terminationNoticeS == null != (current.terminationNoticeS == null)
 
-    private fun announce(heartbeat: Heartbeat, term: ULong) {
+    private fun onWorkerChange(heartbeat: Heartbeat, term: ULong) {
         log.info(
             "event=worker_reports term={} machine={} incarnation={} termination_notice_s={}",
             term,
@@ -78,14 +78,15 @@
         term: ULong,
     ): List<WorkerCommand> {
         val records = context.view.on(heartbeat.machineName)
-        // A task whose cancellation another controller has just committed must not start: launches need a fresh view.
+        // Launches need a fresh view: a task must not start if another controller has just committed its cancellation.
         val mayLaunch = machine.phase != MachinePhase.RETIRING && responses.viewIsFresh()
         val result = HeartbeatReconciler.decide(heartbeat, records, term, mayLaunch)
         for (event in result.events) {
             workerHealth.recordTaskEvent(event, workerState)
             taskEvents.add(event)
         }
-        workerState.reachability = workerState.reachability.answered(heartbeat, term, result.commands, context.nowNs)
+        workerState.reachability =
+            workerState.reachability.afterResponse(heartbeat, term, result.commands, context.nowNs)
         if (log.isDebugEnabled) {
             for (command in result.commands) {
                 log.debug("event=worker_command term={} machine={} command={}", term, heartbeat.machineName, command)
@@ -94,7 +95,7 @@
         return result.commands
     }
 
-    /** Notes the images of tasks that have been pulled, as the worker's cache holds them. */
+    /** Records the pulled images of the reported tasks, mirroring the worker's image cache. */
     private fun recordImages(heartbeat: Heartbeat, workerState: WorkerState) {
         val cacheGb = context.view.machineTypes[heartbeat.machineType]?.cacheGb ?: return
         for (task in heartbeat.tasks) {
@@ -119,7 +120,7 @@
             }
             if (before?.state == task.state) continue
             log.debug(
-                "event=task_state_changed job={} task={} attempt={} machine={} state={} cause={}",
+                "event=task_state_changed job={} task={} attempt={} machine={} state={} reason={}",
                 task.job,
                 task.index,
                 task.attempt,
--- a/src/main/kotlin/flaxfield/workers/UnknownMachineAdopter.kt
+++ b/src/main/kotlin/flaxfield/workers/UnknownMachineAdopter.kt
@@ -12,14 +12,14 @@
 import org.slf4j.LoggerFactory
 
 /**
- * Writes the record of a machine that reports without having one. This happens when the cloud executes a rental
- * request whose response was given up on.
+ * Creates the missing record of a machine that sends heartbeats. A record is missing if the cloud executed a rental
+ * request after the controller had stopped waiting for its response.
  */
 internal class UnknownMachineAdopter(private val context: ControllerContext, private val workerHealth: WorkerHealth) {
-    /** Submits the record, unless the machine's record was dropped before or is already being written. */
+    /** Submits the record, unless it was deleted recently or a write of it is pending. */
     fun adopt(heartbeat: Heartbeat) {
         val key = StoreKeys.MACHINE + heartbeat.machineName
-        if (workerHealth.isGone(heartbeat.machineName) || context.transactions.isWritePending(key)) return
+        if (workerHealth.wasRemoved(heartbeat.machineName) || context.transactions.isWritePending(key)) return
         val machine = Machine(
             heartbeat.machineName,
             heartbeat.machineType,
--- a/src/main/kotlin/flaxfield/workers/WorkerCommand.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerCommand.kt
@@ -6,10 +6,10 @@
     val index: Int
     val attempt: ULong
 
-    /** Start the attempt. */
+    /** Starts the attempt. */
     data class Launch(override val job: String, override val index: Int, override val attempt: ULong) : WorkerCommand
 
-    /** End the attempt; within [gracePeriodS] seconds it may save a checkpoint. */
+    /** Ends the attempt; it may save a checkpoint within the grace period of [gracePeriodS] seconds. */
     data class Halt(
         override val job: String,
         override val index: Int,
@@ -17,6 +17,6 @@
         val gracePeriodS: Double,
     ) : WorkerCommand
 
-    /** Forget the attempt, which has ended and whose end is committed. */
+    /** Makes the worker forget the attempt, whose end has been committed. */
     data class Clear(override val job: String, override val index: Int, override val attempt: ULong) : WorkerCommand
 }
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -10,45 +10,46 @@
 import flaxfield.zones.ZoneTimes
 
 /**
- * What this process has seen of workers, and the health of the machines in its shard that follows from it. Held in
- * memory only, by the owner thread. Times are nanoseconds of the monotonic clock.
+ * Tracks the workers' heartbeats and derives the health of the machines in this controller's shard. Kept in memory only
+ * and confined to the owner thread. Times are nanoseconds of the monotonic clock.
  */
 class WorkerHealth(private val context: ControllerContext) {
     private val workerStates = HashMap<String, WorkerState>()
-    private val dropped = DroppedMachines(context.settings.workers.leaseS)
+    private val removed = RemovedMachines(context.settings.workers.leaseS)
     private val faults = FaultDetector(context)
     private var observedTerm: ULong? = null
 
-    /** Since when this process owns its shard under the present term. */
+    /** When this process became the owner of its shard under the current term. */
     var ownerSinceNs = 0L
         private set
 
-    /** When a machine of each zone last reported to us as its owner. */
+    /** The time of the last heartbeat from an owned machine, by zone. */
     private val ownedHeartbeatNs = HashMap<String, Long>()
 
-    /** When a worker of another shard last reported to us, by zone. */
+    /** The time of the last heartbeat from a machine of another shard, by zone. */
     private val misroutedHeartbeatNs = HashMap<String, Long>()
 
-    /** A heartbeat under our term has come: a sign of life of the machine and of its [zone]. */
-    fun recordSignOfLife(workerState: WorkerState, zone: String) {
+    /** Records a heartbeat under the current term: the machine is alive and its [zone] is reachable. */
+    fun recordLiveness(workerState: WorkerState, zone: String) {
         workerState.lastHeartbeatNs = context.nowNs
         ownedHeartbeatNs[zone] = workerState.lastHeartbeatNs
     }
 
     /**
-     * A worker of another shard has reported here under our term: a sign of life of its zone, if it is newer than what
-     * was seen of it before. The first one does not count, as it may be a late copy.
+     * Records a heartbeat under the current term from a worker of another shard. If it is newer than the worker's
+     * previous one, it proves that the zone is reachable. The first one does not count, because it may be a delayed
+     * duplicate.
      */
     fun recordMisrouted(heartbeat: Heartbeat, workerState: WorkerState) {
         val before = workerState.misroutedHeartbeat
-        if (before != null && !heartbeat.newerThan(before.incarnation, before.sequenceNumber)) return
+        if (before != null && !heartbeat.isNewerThan(before.incarnation, before.sequenceNumber)) return
         workerState.misroutedHeartbeat = heartbeat
         if (before != null) misroutedHeartbeatNs[heartbeat.zone] = context.nowNs
     }
 
     /**
-     * How many machines of each zone report to this controller: those of its own shard, and workers that do not reach
-     * their owners.
+     * Returns how many machines of each zone send heartbeats to this controller: machines of its shard, and machines
+     * that do not reach their owners.
      */
     fun zoneCoverage(): Map<String, ZoneCoverage> {
         val windowNs = (context.settings.workers.leaseS * ZoneTimes.SILENT_LEASES * NANOS_PER_SECOND).toLong()
@@ -77,29 +78,29 @@
         return counts
     }
 
-    /** Whether the machine's record was dropped lately: heartbeats of it are late copies. */
-    fun isGone(machineName: String): Boolean = machineName in dropped
+    /** Whether the machine's record was deleted recently, so that any heartbeat of it is a delayed duplicate. */
+    fun wasRemoved(machineName: String): Boolean = machineName in removed
 
-    /** Notes what the end of a task tells of its machine. */
+    /** Updates the failure evidence of a machine after one of its tasks has ended. */
     fun recordTaskEvent(event: TaskEvent, workerState: WorkerState) = faults.recordTaskEvent(event, workerState)
 
-    /** Takes a machine that our responses do not reach as faulty, unless the fault is more likely ours. */
+    /** Marks a machine that responses do not reach as faulty, unless the fault is more likely in this controller. */
     fun markUnreachable(workerState: WorkerState) {
         if (workerState.faultReason != null) return
         faults.markUnreachable(workerState, workerStates.values.filter { it.lastHeartbeatNs > ownerSinceNs })
     }
 
-    /** The health of a machine in this controller's shard, as of now. */
+    /** Returns the current health of a machine in this controller's shard. */
     fun state(machineName: String): MachineHealth {
         val workerState = workerStates[machineName]
         val heartbeat = workerState?.heartbeat
         return when {
             workerState?.faultReason != null -> MachineHealth.FAULTY
             heartbeat == null || workerState.lastHeartbeatNs == 0L || workerState.lastHeartbeatNs < ownerSinceNs ->
-                healthWithoutSignOfLife(machineName, workerState)
+                healthWithoutHeartbeat(machineName, workerState)
             isSilent(machineName, workerState.lastHeartbeatNs) -> MachineHealth.SILENT
             heartbeat.terminationNoticeS != null -> MachineHealth.NOTICE
-            else -> when (faults.judgeFailures(workerState)) {
+            else -> when (faults.evaluateFailures(workerState)) {
                 FaultVerdict.FAULTY -> MachineHealth.FAULTY
                 FaultVerdict.SUSPECT -> MachineHealth.SUSPECT
                 FaultVerdict.NONE -> MachineHealth.OK
@@ -107,14 +108,17 @@
         }
     }
 
-    private fun healthWithoutSignOfLife(machineName: String, workerState: WorkerState?): MachineHealth {
-        // A machine that just booted has reported, but not yet under our term.
+    private fun healthWithoutHeartbeat(machineName: String, workerState: WorkerState?): MachineHealth {
+        // A machine that has just booted has sent heartbeats, but none under the current term yet.
         val sinceNs = maxOf(ownerSinceNs, workerState?.firstHeartbeatNs ?: 0L)
         val silent = isSilent(machineName, sinceNs) && isExpectedToReport(machineName)
         return if (silent) MachineHealth.SILENT else MachineHealth.UNSEEN
     }
 
-    /** It has reported before, to us or to an earlier owner, or has tasks: only then does its silence mean anything. */
+    /**
+     * Whether missing heartbeats indicate a failure: the machine has tasks, or has sent a heartbeat to this controller
+     * or an earlier owner.
+     */
     private fun isExpectedToReport(machineName: String): Boolean = workerStates[machineName]?.heartbeat != null ||
         !context.view.isEmpty(machineName) ||
         context.view.lastKnownStatus(machineName)?.let { it.incarnation > 0uL } ?: false
@@ -122,26 +126,27 @@
     private fun isSilent(machineName: String, sinceNs: Long): Boolean {
         val leaseNs = context.settings.workers.leaseS * NANOS_PER_SECOND
         val silenceNs = context.nowNs - sinceNs
-        if (silenceNs < leaseNs * SILENT_SHARE) return false
+        if (silenceNs < leaseNs * SILENT_AFTER_LEASES) return false
         val zone = zoneOf(machineName)
         if (context.zones?.isLost(zone) == true) return silenceNs > leaseNs
-        // If no machine of its zone reports, it is more likely this controller that is cut off from there. But the
-        // last machines of a shard may be lost together, and their tasks must not wait for ever.
+        // If no machine of the zone sends heartbeats, this controller is more likely partitioned from the zone. But the
+        // last machines of a shard may fail together, and their tasks must not wait forever.
         val heartbeatIntervalS = context.settings.workers.heartbeatIntervalS
         val zoneReports = context.nowNs - (ownedHeartbeatNs[zone] ?: 0L) <
-            heartbeatIntervalS * ZONE_REPORTS_HEARTBEATS * NANOS_PER_SECOND
-        return zoneReports || silenceNs > leaseNs * SILENT_ZONE_SHARE
+            heartbeatIntervalS * ZONE_REPORT_INTERVALS * NANOS_PER_SECOND
+        return zoneReports || silenceNs > leaseNs * SILENT_ZONE_AFTER_LEASES
     }
 
     private fun zoneOf(machineName: String): String =
         context.view.machines[machineName]?.zone ?: workerStates[machineName]?.heartbeat?.zone.orEmpty()
 
-    /** What is known of a machine that has been heard of, or null. */
+    /** Returns the state of a worker, or null if there is none. */
     fun known(machineName: String): WorkerState? = workerStates[machineName]
 
     /**
-     * What is known of a machine; at first what its earlier owners' shard summaries list. Without that, a failover
-     * would forget which images machines hold, and gangs would wait for pulls that other machines do not need.
+     * Returns the state of a worker, restored from the shard summary of an earlier owner on first use. Otherwise, a
+     * failover would lose the record of cached images, and gangs would wait for image pulls that other machines do not
+     * need.
      */
     fun workerState(machineName: String): WorkerState = workerStates.getOrPut(machineName) { restoreState(machineName) }
 
@@ -152,8 +157,8 @@
     }
 
     /**
-     * Must run before any decision under a new term: a machine's silence counts from when this process became its
-     * owner. Otherwise a failover would return every machine it takes over.
+     * Detects a new term; must run before any decision under it. The absence of heartbeats counts only from the time at
+     * which this process became the owner. Otherwise, a failover would return every machine that it takes over.
      */
     fun observeTerm() {
         val term = context.leadership.term()
@@ -163,7 +168,7 @@
         for (workerState in workerStates.values) workerState.termPushedNs = 0
     }
 
-    /** This process was paused for [gapNs]: heartbeats of that time were lost on our side, not on the workers'. */
+    /** Discounts a pause of this process for [gapNs], during which it could not receive heartbeats. */
     fun onProcessPause(gapNs: Long) {
         if (ownerSinceNs != 0L) ownerSinceNs += gapNs
         for (workerState in workerStates.values) {
@@ -173,20 +178,20 @@
         ownedHeartbeatNs.replaceAll { _, atNs -> atNs + gapNs }
     }
 
-    /** Forgets a machine whose record was dropped. */
+    /** Removes the state of a machine whose record was deleted. */
     fun forget(machineName: String) {
         workerStates.remove(machineName)
-        dropped.add(machineName, context.nowNs)
+        removed.add(machineName, context.nowNs)
     }
 
     private companion object {
-        /** A worker silent for this share of its lease is taken as lost: its machine is returned. */
-        const val SILENT_SHARE = 0.75
+        /** A machine without heartbeats for this many leases counts as silent and is returned. */
+        const val SILENT_AFTER_LEASES = 0.75
 
-        /** The same where no machine of its zone reports at all: most network partitions are over by then. */
-        const val SILENT_ZONE_SHARE = 3.0
+        /** The same limit if no machine of the zone sends heartbeats; most network partitions end sooner. */
+        const val SILENT_ZONE_AFTER_LEASES = 3.0
 
-        /** Another machine of the zone must have reported within this many intervals for a silence to count. */
-        const val ZONE_REPORTS_HEARTBEATS = 2.0
+        /** A zone counts as reporting if one of its machines sent a heartbeat within this many intervals. */
+        const val ZONE_REPORT_INTERVALS = 2.0
     }
 }
--- a/src/main/kotlin/flaxfield/workers/WorkerState.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerState.kt
@@ -5,35 +5,35 @@
 import flaxfield.arrays.ShardSummaryPages
 
 /**
- * What this process has seen of one machine's worker. Held in memory only, by [WorkerHealth]; owned by the owner
- * thread. Times are nanoseconds of the monotonic clock, 0 for never.
+ * The observed state of one machine's worker. Kept in memory only, by [WorkerHealth], and confined to the owner thread.
+ * Times are nanoseconds of the monotonic clock; 0 means never.
  */
 class WorkerState(val machineName: String) {
-    /** The latest heartbeat that came here as the machine's owner. */
+    /** The latest heartbeat received as the machine's owner. */
     var heartbeat: Heartbeat? = null
 
-    /** The latest heartbeat that came here although another controller owns the machine. */
+    /** The latest heartbeat received while another controller owned the machine. */
     var misroutedHeartbeat: Heartbeat? = null
 
-    /** When a heartbeat that is a sign of life last came: one under the term of its time. */
+    /** When the latest heartbeat under the then current term arrived. */
     var lastHeartbeatNs: Long = 0
 
-    /** When the worker was first heard of, under any term. */
+    /** When the first heartbeat of the worker arrived, under any term. */
     var firstHeartbeatNs: Long = 0
 
-    /** Images and their sizes in GB, in the order of their last use; the cache keeps the latest. */
+    /** The images on the machine with their sizes in GB, least recently used first. */
     val images = LinkedHashMap<String, Double>()
 
-    /** Why the machine is taken as faulty; null if it is not. */
+    /** Why the machine counts as faulty; null if it does not. */
     var faultReason: FaultReason? = null
 
-    /** Jobs whose tasks failed here since a task last completed. */
+    /** Failures on this machine since a task last completed on it. */
     var failures = MachineFailures()
 
-    /** Halts of cancelled tasks that were sent and show no effect. */
+    /** Halts of cancelled tasks that were sent without effect. */
     var haltTracker = HaltTracker()
 
-    /** Whether our responses reach the worker. */
+    /** Whether this controller's responses reach the worker. */
     var reachability = ResponseReachability()
 
     /** When the term was last pushed to the worker by a direct command. */
@@ -42,28 +42,28 @@
     /** When the worker was last redirected to its owner. */
     var redirectedNs: Long = 0
 
-    /** The term that the worker first learned here although another controller owns it; null after its redirect. */
+    /** The term that a misrouted worker learned from this controller; null after its redirect. */
     var announcedTerm: ULong? = null
 
-    /** Since when the worker's heartbeats are forwarded to its owner; 0 if they are not. */
+    /** When forwarding of the worker's heartbeats to its owner started; 0 if they are not forwarded. */
     var forwardedSinceNs: Long = 0
 
     /** When halts were last sent by a direct command. */
     var haltSentNs: Long = 0
 
-    /** Notes that [image] is on the machine, and forgets the least recently used ones that no longer fit its cache. */
+    /** Records that [image] is on the machine, and removes the least recently used images beyond the cache size. */
     fun recordImage(image: String, imageGb: Double, cacheGb: Double) {
         images.remove(image)
         images[image] = imageGb
         while (images.size > 1 && images.values.sum() > cacheGb) images.remove(images.keys.first())
     }
 
-    /** Takes over the images that an earlier owner's shard summary lists; their sizes are not known. */
+    /** Restores the images from an earlier owner's shard summary, with unknown sizes. */
     fun restoreImages(status: MachineStatus) {
         if (images.isEmpty()) for (image in status.images) images[image] = 0.0
     }
 
-    /** The machine's entry in the shard summary, with the given health. */
+    /** Returns the machine's entry in the shard summary, with the given health. */
     fun toMachineStatus(health: MachineHealth): MachineStatus = MachineStatus(
         health,
         heartbeat?.incarnation ?: 0uL,
