--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -67,7 +67,8 @@
 
     /**
      * Whether workers' heartbeats can be answered yet. Before the first complete view, no lease may be renewed and no
-     * owner is known; handling hundreds of heartbeats a second would only delay that view. Safe to call from any thread.
+     * owner is known; handling hundreds of heartbeats a second would only delay that view. Safe to call from any
+     * thread.
      */
     fun acceptsHeartbeats(): Boolean = modules.reflector.hasSynced
 
--- a/src/main/kotlin/flaxfield/controller/ControllerContext.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerContext.kt
@@ -43,7 +43,7 @@
     /** The subsystem that the fleet file enables; null without a fleet file. */
     var subsystem: Subsystem? = null
 
-    /** Tracks lost and returning zones; null if zone recovery is disabled. */
+    /** Tracks lost and returning zones; null if zones are not monitored. */
     var zones: ZoneRecovery? = null
 
     val scheduling = SchedulingPolicy(settings, view, clock) { zones }
--- a/src/main/kotlin/flaxfield/controller/ControllerModules.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerModules.kt
@@ -31,7 +31,7 @@
     maxDirectCommands: Int,
     subsystemFactory: SubsystemFactory?,
 ) {
-    /** Decides the state of zones; null if zone recovery is disabled. */
+    /** Decides the state of zones; null if zones are not monitored. */
     val zones: ZoneReconciler? =
         if (context.operator.zoneRecovery || subsystemFactory != null) createZoneReconciler(context) else null
     val peers = PeerGateway(context, transports.peer)
--- a/src/main/kotlin/flaxfield/controller/Readiness.kt
+++ b/src/main/kotlin/flaxfield/controller/Readiness.kt
@@ -4,9 +4,9 @@
 import flaxfield.settings.Settings
 
 /**
- * Decides whether users' requests should be routed to this process. If the store is unreachable for all controllers, the
- * process stays ready and responds with 503. If only this process is cut off from the store, it is not ready, so that
- * users reach another controller.
+ * Decides whether users' requests should be routed to this process. If the store is unreachable for all controllers,
+ * the process stays ready and responds with 503. If only this process is cut off from the store, it is not ready, so
+ * that users reach another controller.
  */
 internal class Readiness(
     private val settings: Settings,
--- a/src/main/kotlin/flaxfield/controller/RevisionProbe.kt
+++ b/src/main/kotlin/flaxfield/controller/RevisionProbe.kt
@@ -6,8 +6,9 @@
 import flaxfield.store.WriteCause
 
 /**
- * Reads the store's current revision while no changes arrive. A watch returns only on a change, so without probes this
- * process could not prove that its view is up to date. The renewal of workers' leases requires that proof.
+ * Reads the store's current revision while no changes arrive. A watch returns only on a change or at its
+ * timeout, so without probes this process could not prove that its view is up to date. The renewal of workers' leases
+ * requires that proof.
  */
 internal class RevisionProbe(private val context: ControllerContext) {
     private var isInFlight = false
--- a/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
+++ b/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
@@ -15,10 +15,12 @@
     private val settings: Settings,
     private val view: ClusterView,
     private val clock: Clock,
-    /** Returns the tracker of lost zones; null if zone recovery is disabled. */
+    /** Returns the tracker of lost zones; null if zones are not monitored. */
     private val zones: () -> ZoneRecovery?,
 ) {
-    /** On-demand capacity that arrays leave to jobs that cannot use spot machines, and quota that they leave to gangs. */
+    /**
+     * On-demand capacity that arrays leave to jobs that cannot use spot machines, and quota that they leave to gangs.
+     */
     val reservations = GangCapacityReservation()
 
     private val starvation = StarvationTracker()
@@ -44,9 +46,9 @@
 
     /**
      * Returns how many more tasks of [job] its team's limit admits on top of [usage]. Arrays leave a part of the limit
-     * to the team's gangs. A starved array leaves it only to waiting gangs that were submitted before it, and may always
-     * place one task if the limit admits it. With that task it is no longer starved, so each such array costs the gangs
-     * at most one task slot.
+     * to the team's gangs. A starved array leaves it only to waiting gangs that were submitted before it, and may
+     * always place one task if the limit admits it. With that task it is no longer starved, so each such array costs
+     * the gangs at most one task slot.
      */
     fun admissibleTasks(job: Job, usage: TeamUsage): Int {
         val team = job.spec.team
--- a/src/main/kotlin/flaxfield/controller/StartupLeaseWindow.kt
+++ b/src/main/kotlin/flaxfield/controller/StartupLeaseWindow.kt
@@ -3,8 +3,8 @@
 import flaxfield.NANOS_PER_SECOND
 
 /**
- * A time window after this process has become a member of a cluster that already has machines. During it, only lease
- * renewals and halts are handled: planning is slow while its code runs for the first time and would delay them.
+ * A time window after this process has become a member of a cluster that already has machines. Planning is suspended
+ * during it: it is slow while its code runs for the first time, and would delay lease renewals and halts.
  */
 internal class StartupLeaseWindow(private val context: ControllerContext) {
     private var untilNs: Long? = null
--- a/src/main/kotlin/flaxfield/controller/StoreLister.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreLister.kt
@@ -6,8 +6,9 @@
 import flaxfield.store.WriteCause
 
 /**
- * Lists all keys under [StoreKeys.LIVE] into the replica, page by page. The following watch starts from the first page's
- * revision. Later pages may be newer; the replica skips updates it already has by the versions of their keys.
+ * Lists all keys under [StoreKeys.LIVE] into the replica, page by page. The following watch starts from the first
+ * page's revision. Later pages may be newer than that; the replica skips updates that it already has, by the versions
+ * of their keys.
  *
  * @param onListed receives the revisions of the first and of the last page
  * @param onFailed called when a page could not be read; the list must then be restarted
@@ -72,7 +73,9 @@
     }
 
     private companion object {
-        /** Half of the store's maximum page size: applying more keys at once would delay the renewal of workers' leases. */
+        /**
+         * Half of the store's maximum page size: applying more keys at once would delay the renewal of workers' leases.
+         */
         const val PAGE_KEYS = 500
     }
 }
--- a/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
+++ b/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
@@ -29,7 +29,9 @@
     /** This process's share of the store's request and write rates. */
     val budget = StoreBudget(settings.stateLimits, settings.size)
 
-    /** The keys with a pending write: null while its transaction is open, then the revision that the view must reach. */
+    /**
+     * The keys with a pending write: null while its transaction is open, then the revision that the view must reach.
+     */
     private val pending = HashMap<String, ULong?>()
 
     /** The keys of transactions that were rejected as too large, each with the time until which it is not written. */
@@ -54,7 +56,8 @@
 
     /**
      * Sends [transaction] if it is within the size limits and the budget allows it for [cause]; otherwise returns false
-     * and sends nothing. The changed keys are pending until the view shows the outcome. [done] runs on the owner thread.
+     * and sends nothing. The changed keys are pending until the view shows the outcome. [done] runs on the owner
+     * thread.
      */
     fun submit(cause: WriteCause, transaction: Transaction, done: (TransactionOutcome) -> Unit = {}): Boolean {
         if (!mayWrite(cause, transaction.changes.size)) return false
--- a/src/main/kotlin/flaxfield/peers/PeerGateway.kt
+++ b/src/main/kotlin/flaxfield/peers/PeerGateway.kt
@@ -7,8 +7,8 @@
 import flaxfield.settings.Address
 
 /**
- * Exchanges messages with the other controllers. Forwards heartbeats of workers to the controller that owns the machine,
- * and reports how long ago the store last responded to this process. Used only by the owner thread.
+ * Exchanges messages with the other controllers. Forwards heartbeats of workers to the controller that owns the
+ * machine, and reports how long ago the store last responded to this process. Used only by the owner thread.
  */
 class PeerGateway(private val context: ControllerContext, connect: (Address, (PeerMessage) -> Unit) -> PeerConnection) {
     private class PendingForward(val sentNs: Long, val done: (Int, ByteArray?) -> Unit)
@@ -30,8 +30,8 @@
     private val lastStoreContactNs = HashMap<String, Long>()
 
     /**
-     * Forwards [heartbeat] to the controller [owner]. Passes the status and body of the response to [done], or 0 and null
-     * if there is no response before the timeout.
+     * Forwards [heartbeat] to the controller [owner]. Passes the status and body of the response to [done], or 0 and
+     * null if there is no response before the timeout.
      */
     fun forwardHeartbeat(owner: String?, heartbeat: ByteArray, done: (Int, ByteArray?) -> Unit) {
         val connection = connections[owner]
--- a/src/main/kotlin/flaxfield/store/ClusterRecords.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterRecords.kt
@@ -6,7 +6,9 @@
 import flaxfield.membership.ShardAssignment
 import flaxfield.zones.ZoneRecord
 
-/** All records under [StoreKeys.LIVE] with their indexes, written by [ClusterReplica] and read through [ClusterView]. */
+/**
+ * All records under [StoreKeys.LIVE] with their indexes, written by [ClusterReplica] and read through [ClusterView].
+ */
 internal class ClusterRecords {
     /** The store's revision up to which all changes are applied. */
     var revision: ULong = 0uL
--- a/src/main/kotlin/flaxfield/store/PlacementIndex.kt
+++ b/src/main/kotlin/flaxfield/store/PlacementIndex.kt
@@ -7,9 +7,9 @@
 import flaxfield.jobs.Resources
 
 /**
- * Indexes the placements of all jobs by machine and caches the free resources of each machine. The index is updated with
- * each change of a job, so that a machine's heartbeat does not iterate over all placements of the jobs on it. Used only
- * by the owner thread.
+ * Indexes the placements of all jobs by machine and caches the free resources of each machine. The index is updated
+ * with each change of a job, so that a machine's heartbeat does not iterate over all placements of the jobs on it. Used
+ * only by the owner thread.
  */
 internal class PlacementIndex {
     /** Placements by machine name, job id and task index. */
--- a/src/main/kotlin/flaxfield/store/RateShare.kt
+++ b/src/main/kotlin/flaxfield/store/RateShare.kt
@@ -6,7 +6,10 @@
         /** The share of each controller that is no member: it only updates its view and renews its lease. */
         private const val NON_MEMBER_SHARE = 0.08
 
-        /** The leader's weight against 1 for other members: besides its own shard it writes gangs, reservations and the fleet. */
+        /**
+         * The leader's weight against 1 for other members: besides its own shard it writes gangs, reservations and the
+         * fleet.
+         */
         private const val LEADER_WEIGHT = 2
 
         /**
--- a/src/main/kotlin/flaxfield/store/StoreBudget.kt
+++ b/src/main/kotlin/flaxfield/store/StoreBudget.kt
@@ -19,7 +19,9 @@
         return writes.tokens >= writes.rate * AMPLE_SHARE
     }
 
-    /** Returns the largest size of a bulk write, at most [max]. A larger one would delay all other writes for seconds. */
+    /**
+     * Returns the largest size of a bulk write, at most [max]. A larger one would delay all other writes for seconds.
+     */
     fun bulk(max: Int): Int = minOf(max, (writes.rate * BULK_WRITE_S).toInt().coerceAtLeast(MIN_BULK_CHANGES))
 
     /** Limits this controller to [share] of the two limits from now on. */
--- a/src/main/kotlin/flaxfield/store/StoreKeys.kt
+++ b/src/main/kotlin/flaxfield/store/StoreKeys.kt
@@ -34,7 +34,9 @@
     /** Prefix of the records of finished jobs, by job id. */
     const val FINISHED_JOB = "over/"
 
-    /** Prefix of the records of the subsystem that a fleet file enables; controllers without a fleet file ignore them. */
+    /**
+     * Prefix of the records of the subsystem that a fleet file enables; controllers without a fleet file ignore them.
+     */
     const val FLEET = "live/fleet/"
 
     /** A key that is never written: reading it returns the current revision for the cost of one request. */
--- a/src/main/kotlin/flaxfield/store/TokenBucket.kt
+++ b/src/main/kotlin/flaxfield/store/TokenBucket.kt
@@ -3,7 +3,8 @@
 import flaxfield.NANOS_PER_SECOND
 
 /**
- * A token bucket for a share of a rate limit. Taking tokens may leave the bucket in debt. Used only by the owner thread.
+ * A token bucket for a share of a rate limit. Taking tokens may leave the bucket in debt. Used only by the owner
+ * thread.
  *
  * @param limit the limit of all controllers together, in tokens per second
  * @param controllers the number of controllers that share the limit equally until [setShare] is called
--- a/src/main/kotlin/flaxfield/store/TransactionSize.kt
+++ b/src/main/kotlin/flaxfield/store/TransactionSize.kt
@@ -4,8 +4,8 @@
 import flaxfield.settings.StateLimits
 
 /**
- * Checks transactions against the store's size limits. Sizes are those of the JSON form, as PROTOCOL-flaxfield.md defines
- * them, and are computed without encoding the values. Pure.
+ * Checks transactions against the store's size limits. Sizes are those of the JSON form, as PROTOCOL-flaxfield.md
+ * defines them, and are computed without encoding the values. Pure.
  */
 object TransactionSize {
     private const val MAX_TRANSACTION_BYTES = 64 * BYTES_PER_KIB
--- a/src/main/kotlin/flaxfield/store/ViewFreshness.kt
+++ b/src/main/kotlin/flaxfield/store/ViewFreshness.kt
@@ -1,10 +1,10 @@
 package flaxfield.store
 
 /**
- * Bounds the age of the view. The age counts from [upToDateAsOfNs], when the latest read whose revision the view has reached
- * was sent. The view therefore contains everything that was committed, or acknowledged to users, before that time. Other
- * responses of the store prove only that it is reachable: leases are renewed even while the view does not advance. Used
- * only by the owner thread.
+ * Bounds the age of the view. The age counts from [asOfNs], when the latest read whose revision the view has reached
+ * was sent. The view therefore contains everything that was committed, or acknowledged to users, before that time.
+ * Other responses of the store prove only that it is reachable: the lease of this process, for one, is renewed even
+ * while the view does not advance. Used only by the owner thread.
  */
 class ViewFreshness {
     private class RevisionRead(val sentNs: Long, val revision: ULong)
@@ -13,10 +13,10 @@
     private val pendingReads = ArrayDeque<RevisionRead>()
 
     /**
-     * The monotonic time as of which the view is up to date. Null until the view is complete for the first time or again
-     * after [reset]; until then, this process must not renew leases.
+     * The monotonic time as of which the view is up to date. Null until the view is complete for the first time or
+     * again after [reset]; until then, this process must not renew leases.
      */
-    var upToDateAsOfNs: Long? = null
+    var asOfNs: Long? = null
         private set
 
     /** Records a read that was sent at [sentNs] and returned [revision]; it counts once the view has [reached] that. */
@@ -30,17 +30,17 @@
         val done = pendingReads.filter { it.revision <= revision }
         if (done.isEmpty()) return
         pendingReads.removeAll(done.toSet())
-        upToDateAsOfNs = maxOf(upToDateAsOfNs ?: Long.MIN_VALUE, done.maxOf { it.sentNs })
+        asOfNs = maxOf(asOfNs ?: Long.MIN_VALUE, done.maxOf { it.sentNs })
     }
 
     /** Discards all reads when the view is listed again: its age is unknown until it is complete. */
     fun reset() {
         pendingReads.clear()
-        upToDateAsOfNs = null
+        asOfNs = null
     }
 
     /** Whether the age of the view at [nowNs] is guaranteed to be at most [boundNs]. */
-    fun within(boundNs: Long, nowNs: Long): Boolean = upToDateAsOfNs?.let { nowNs - it <= boundNs } ?: false
+    fun within(boundNs: Long, nowNs: Long): Boolean = asOfNs?.let { nowNs - it <= boundNs } ?: false
 
     private companion object {
         const val MAX_PENDING_READS = 32
