--- /dev/null
+++ b/src/test/kotlin/flaxfield/golden/CommandLineExitsGoldenTest.kt
@@ -0,0 +1,3 @@
+package flaxfield.golden
+
+class CommandLineExitsGoldenTest : GoldenFixtureTest(CommandLineExits.suite)
--- a/tools/start-cost.sh
+++ b/tools/start-cost.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures on this machine what one start of the service costs: processor time until it listens, until it has read a
-# view of 540 machines and 200 jobs, and two seconds later; classes loaded from the archive and from the jar; and resident
-# memory. The state service is the simulation's stand-in, on loopback. Needs a build. Usage: tools/start-cost.sh [RUNS]
+# Measures the cost of starting the service on this machine: processor time until it listens, until it has listed a view
+# of 540 machines and 200 jobs, and two seconds later; classes loaded from the archive and from the jar; and resident
+# memory. The state service is simulated, on loopback. Needs a build. Usage: tools/start-cost.sh [RUNS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 runs=${1:-5}
@@ -23,12 +23,12 @@
 arguments=("${command[@]:1}")
 ticks_per_second=$(getconf CLK_TCK)
 
-# Prints the processor time, in milliseconds, that a process has used so far.
+# Prints the processor time that a process has used so far, in milliseconds.
 processor_ms() {
     awk -v hz="$ticks_per_second" '{ print int(($14 + $15) * 1000 / hz) }' "/proc/$1/stat"
 }
 
-# Waits until the log of a process holds a text.
+# Waits until the log of a process contains a text; exits with the log if the process ends first.
 await() {
     until grep -qs "$3" "$2"; do
         if ! kill -0 "$1" 2> /dev/null; then
@@ -39,7 +39,7 @@
     done
 }
 
-java -cp target/flaxfield.jar:target/test-classes flaxfield.training.FirstViewStateKt "$state_port" 2> "$work/state" &
+java -cp target/flaxfield.jar:target/test-classes flaxfield.training.PopulatedStateServiceKt "$state_port" 2> "$work/state" &
 state_pid=$!
 await "$state_pid" "$work/state" 'state service on'
 
@@ -60,5 +60,5 @@
     wait "$pid" 2> /dev/null || true
     archived=$(grep -c 'shared objects file' "$classes" || true)
     loaded=$(grep -vc 'shared objects file' "$classes" || true)
-    echo "run $run: listening after $listening ms, view after $viewed ms, two seconds later $settled ms; $archived classes archived, $loaded not; $resident MB"
+    echo "run $run: listening after $listening ms, view listed after $viewed ms, two seconds later $settled ms; $archived classes from the archive, $loaded others; $resident MB resident"
 done
--- a/tools/thread-time.sh
+++ b/tools/thread-time.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Shows where the threads of running flaxfield processes spend processor time on this machine, summed by thread name.
-# Samples /proc until no such process is left (or SECONDS are over), so it can run beside a day of the bench: the
-# times are then those of the real processes that play it, not the simulated machines' charge.
+# Prints the processor time of the threads of running flaxfield processes on this machine, summed by thread name.
+# Samples /proc until no such process is left, or until SECONDS have passed, so it can run alongside a run of the bench.
+# It then reports the processor time of the real processes, not the time that the bench charges to simulated machines.
 # Usage: tools/thread-time.sh [SECONDS]
 set -euo pipefail
 seconds=${1:-600}
@@ -18,7 +18,7 @@
         found=1
         seen=1
         for stat in "/proc/$pid/task/"*/stat; do
-            # The name may hold blanks: what follows its closing parenthesis is split.
+            # The thread name may contain blanks, so only the fields after its closing parenthesis are split.
             sed -n "s|^\([0-9]*\) (\(.*\)) \(.*\)$|$pid\t\1\t\2\t\3|p" "$stat" 2> /dev/null || true
         done
     done >> "$samples"
