--- a/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
+++ b/src/main/kotlin/flaxfield/arrays/ArrayCandidates.kt
@@ -39,7 +39,7 @@
         if (!isOpen(machine)) return null
         val workerState = workerHealth.workerState(machine.name)
         val heartbeat = workerState.heartbeat ?: return null
-        val taskSlots = HeartbeatReconciler.MAX_TASKS_PER_MACHINE - view.tasksOn(machine.name)
+        val taskSlots = HeartbeatReconciler.MAX_TASKS_PER_MACHINE - view.taskCountOn(machine.name)
         if (taskSlots <= 0) return null
         return PlacementCandidate(
             machine,
--- a/src/main/kotlin/flaxfield/controller/Clock.kt
+++ b/src/main/kotlin/flaxfield/controller/Clock.kt
@@ -3,15 +3,15 @@
 /** The two clocks of a process; tests set their own. */
 interface Clock {
     /** The monotonic clock in nanoseconds: for leases, timeouts and intervals. */
-    fun steadyNs(): Long
+    fun monotonicNs(): Long
 
     /** The wall clock in milliseconds since the epoch: for what is stored and compared between processes. */
-    fun dayMs(): Long
+    fun wallClockMs(): Long
 
     /** The clocks of the machine that this process runs on. */
     object System : Clock {
-        override fun steadyNs(): Long = java.lang.System.nanoTime()
+        override fun monotonicNs(): Long = java.lang.System.nanoTime()
 
-        override fun dayMs(): Long = java.lang.System.currentTimeMillis()
+        override fun wallClockMs(): Long = java.lang.System.currentTimeMillis()
     }
 }
--- a/src/main/kotlin/flaxfield/controller/Controller.kt
+++ b/src/main/kotlin/flaxfield/controller/Controller.kt
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory
 
 /**
- * The loop around all state and decisions of one controller. Whoever calls [handle] and [turn] is its owner: one thread
+ * The loop around all state and decisions of one controller. Whoever calls [handle] and [runDueWork] is its owner: one thread
  * in a process, the event loop of a simulation in tests.
  */
 class Controller(
@@ -42,7 +42,7 @@
     private val requests = RequestRouter(modules.heartbeats, modules.jobs, readiness, ::metricsText)
     private val peerMessages = PeerMessageRouter(modules.peers, modules.heartbeats)
     private val duties = ControllerDuties(context, modules)
-    private val dutyRunner = DutyRunner(context.stats, heartbeatsNs(SLOW_DUTY_HEARTBEATS), transports.flushLate)
+    private val dutyRunner = DutyRunner(context.stats, heartbeatsNs(SLOW_DUTY_HEARTBEATS), transports.flushIfOverdue)
     private val pauses = ProcessPauseDetector(clock, settings.workers.leaseS, modules.workerHealth::onProcessPause)
     private val startupLeases = StartupLeaseWindow(context)
     private val decisionDeferral = BacklogDeferral(heartbeatsNs(MAX_DEFERRAL_HEARTBEATS))
@@ -62,7 +62,7 @@
     fun leave(done: () -> Unit) = modules.membership.leave(done)
 
     /** Counts a request that was refused before it came to the queue; safe from any thread. */
-    fun refused() = metrics.refused()
+    fun countRejected() = metrics.countRejected()
 
     /**
      * Whether workers' heartbeats are of use yet; safe from any thread. Before the first view no lease may be renewed
@@ -85,9 +85,9 @@
         val startNs = System.nanoTime()
         requests.route(request)
         val elapsedNs = System.nanoTime() - startNs
-        metrics.handled(RequestKind.of(request.path), elapsedNs)
+        metrics.recordRequest(RequestKind.of(request.path), elapsedNs)
         context.stats.addDutyTime(if (request.path == ApiPath.HEARTBEAT) "reports" else "users", elapsedNs)
-        transports.flushLate()
+        transports.flushIfOverdue()
     }
 
     /** The time of [count] heartbeat intervals in nanoseconds. */
@@ -100,7 +100,7 @@
      * Does what is due by now: called after each batch of commands and at least every [TICK_MS]. While
      * [heartbeatsWaiting] are many, they come before decisions, since they renew leases.
      */
-    fun turn(heartbeatsWaiting: Int = 0) {
+    fun runDueWork(heartbeatsWaiting: Int = 0) {
         pauses.check()
         val nowNs = context.nowNs
         if (nowNs >= nextTickNs) {
@@ -109,7 +109,7 @@
         }
         val isDue = context.decisions.isDue(nowNs) && nowNs >= nextDecisionNs || nowNs >= latestDecisionNs
         if (!isDue || !decisionDeferral.mayRun(nowNs, heartbeatsWaiting)) return
-        nextDecisionNs = nowNs + DECIDE_GAP_MS * NANOS_PER_MILLI
+        nextDecisionNs = nowNs + MIN_DECISION_INTERVAL_MS * NANOS_PER_MILLI
         latestDecisionNs = nowNs + MAX_DECISION_GAP_MS * NANOS_PER_MILLI
         decide()
     }
@@ -147,7 +147,7 @@
         const val TICK_MS = 100L
 
         /** Decisions are made at most this often. */
-        const val DECIDE_GAP_MS = 60L
+        const val MIN_DECISION_INTERVAL_MS = 60L
 
         /** Decisions are made at least this often, though nothing asks for them. */
         private const val MAX_DECISION_GAP_MS = 500L
--- a/src/main/kotlin/flaxfield/controller/ControllerContext.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerContext.kt
@@ -23,10 +23,10 @@
     val post: (() -> Unit) -> Unit,
 ) {
     /** The monotonic clock now, in nanoseconds. */
-    val nowNs: Long get() = clock.steadyNs()
+    val nowNs: Long get() = clock.monotonicNs()
 
     /** The wall clock now, in milliseconds. */
-    val nowMs: Long get() = clock.dayMs()
+    val nowMs: Long get() = clock.wallClockMs()
 
     val stats = ControllerStats()
     val decisions = DecisionTimer()
--- a/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerProcess.kt
@@ -29,7 +29,7 @@
     private val eventLoops = NioEventLoopGroup(1)
     private val outbound = OutboundQueue(eventLoops.next() as EventLoop)
     private val controller =
-        Controller(settings, operator, incarnation, Clock.System, transports(), quotas.direct, subsystem, ::post)
+        Controller(settings, operator, incarnation, Clock.System, transports(), quotas.directCommands, subsystem, ::post)
 
     @Volatile
     private var isStopping = false
@@ -40,7 +40,7 @@
         cloud = HttpClient(eventLoops, outbound, settings.cloud, CLOUD_CONNECTIONS),
         worker = { HttpClient(eventLoops, outbound, it, 1, keepAlive = false) },
         peer = { address, onMessage -> PeerClient(eventLoops, outbound, address, onMessage) },
-        flushLate = outbound::flushLate,
+        flushIfOverdue = outbound::flushIfOverdue,
     )
 
     /** Hands [block] to the owner thread; safe from any thread. */
@@ -98,7 +98,7 @@
         }
         for (command in batch) controller.handle(command)
         batch.clear()
-        controller.turn(commands.workersWaiting)
+        controller.runDueWork(commands.workersWaiting)
         outbound.flush()
     }
 
@@ -106,7 +106,7 @@
     private fun offer(request: Request) {
         val isAccepted = !isStopping && (request.path != ApiPath.HEARTBEAT || controller.acceptsHeartbeats())
         if (isAccepted && commands.offer(Command.Http(request))) return
-        controller.refused()
+        controller.countRejected()
         request.responder.send(HttpStatus.SERVICE_UNAVAILABLE, Body.EMPTY, RETRY_AFTER_S)
     }
 
--- a/src/main/kotlin/flaxfield/controller/ControllerTransports.kt
+++ b/src/main/kotlin/flaxfield/controller/ControllerTransports.kt
@@ -18,5 +18,5 @@
     /** Opens a connection to another controller; the second argument takes its messages. */
     val peer: (Address, (PeerMessage) -> Unit) -> PeerConnection,
     /** Flushes messages that have waited for too long to be sent. */
-    val flushLate: () -> Unit = {},
+    val flushIfOverdue: () -> Unit = {},
 )
--- a/src/main/kotlin/flaxfield/controller/DutyRunner.kt
+++ b/src/main/kotlin/flaxfield/controller/DutyRunner.kt
@@ -8,12 +8,12 @@
 
 /**
  * Runs duties and accounts for their time. A duty that takes longer than [slowNs] delays answers that workers wait for:
- * it is named in the log. After each duty, [flushLate] sends what has waited for long.
+ * it is named in the log. After each duty, [flushIfOverdue] sends what has waited for long.
  */
 internal class DutyRunner(
     private val stats: ControllerStats,
     private val slowNs: Long,
-    private val flushLate: () -> Unit,
+    private val flushIfOverdue: () -> Unit,
 ) {
     /** Runs [duties] in their order. */
     fun runAll(duties: List<Duty>) {
@@ -31,7 +31,7 @@
         ) {
             log.info("event=slow_duty duty={} elapsed_ms={}", duty.name, elapsedNs / NANOS_PER_MILLI)
         }
-        flushLate()
+        flushIfOverdue()
     }
 
     private companion object {
--- a/src/main/kotlin/flaxfield/controller/Leadership.kt
+++ b/src/main/kotlin/flaxfield/controller/Leadership.kt
@@ -9,7 +9,7 @@
     var leaseUntilNs: Long = 0
 
     /** Whether this process's lease in the store is surely valid now. */
-    fun leaseValid(): Boolean = clock.steadyNs() < leaseUntilNs
+    fun leaseValid(): Boolean = clock.monotonicNs() < leaseUntilNs
 
     /** The current term, which is also the workers' fencing token, if this process is a member under it; else null. */
     fun term(): ULong? = view.assignment?.takeIf { it.contains(self) }?.term
--- a/src/main/kotlin/flaxfield/controller/Metrics.kt
+++ b/src/main/kotlin/flaxfield/controller/Metrics.kt
@@ -13,7 +13,7 @@
 /**
  * Counts and times of requests, as `GET /metrics` shows them: one line a figure. Requests are counted in plain fields;
  * the registry that names them is made when it is first asked for, since a start has no time for it. Owned by the owner
- * thread, but for [refused].
+ * thread, but for [countRejected].
  */
 class Metrics {
     private class RequestTimes {
@@ -27,12 +27,12 @@
     private val registry: MeterRegistry by lazy(LazyThreadSafetyMode.NONE, ::makeRegistry)
 
     /** Counts one request that was refused at once; safe from any thread. */
-    fun refused() {
+    fun countRejected() {
         refusals.incrementAndGet()
     }
 
     /** Counts one request that took [elapsedNs] of the owner thread. */
-    fun handled(kind: RequestKind, elapsedNs: Long) {
+    fun recordRequest(kind: RequestKind, elapsedNs: Long) {
         val times = timesByKind.getValue(kind)
         times.count++
         times.totalNs += elapsedNs
--- a/src/main/kotlin/flaxfield/controller/ProcessPauseDetector.kt
+++ b/src/main/kotlin/flaxfield/controller/ProcessPauseDetector.kt
@@ -19,7 +19,7 @@
 
     /** Called before each command and at each turn. */
     fun check() {
-        val nowNs = clock.steadyNs()
+        val nowNs = clock.monotonicNs()
         val gapNs = nowNs - lastNs
         val isFirst = lastNs == 0L
         lastNs = nowNs
--- a/src/main/kotlin/flaxfield/controller/Readiness.kt
+++ b/src/main/kotlin/flaxfield/controller/Readiness.kt
@@ -16,7 +16,7 @@
     /** Whether the process is ready now. */
     fun isReady(): Boolean {
         if (!reflector.hasSynced) return false
-        if (!storeContact.isSilent(settings.workers.leaseS)) return true
+        if (!storeContact.isUnreachable(settings.workers.leaseS)) return true
         if (peers.storeReachableElsewhere()) return false
         // Peers that are silent as well tell that this process is cut off, not that all are.
         return settings.peers.isEmpty() || peers.hasRecentPeer()
--- a/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
+++ b/src/main/kotlin/flaxfield/controller/SchedulingPolicy.kt
@@ -31,16 +31,16 @@
      * no job changes.
      */
     fun refresh() {
-        val nowNs = clock.steadyNs()
+        val nowNs = clock.monotonicNs()
         if (refreshedAtVersion == view.jobsVersion && nowNs < refreshAfterNs) return
         refreshedAtVersion = view.jobsVersion
         refreshAfterNs = nowNs + (settings.workers.heartbeatIntervalS * NANOS_PER_SECOND).toLong()
-        reservations.update(view.jobs.values, view.machineTypes.values, clock.dayMs(), RESERVED_MS)
-        starvation.update(view.jobs.values, clock.dayMs())
+        reservations.update(view.jobs.values, view.machineTypes.values, clock.wallClockMs(), RESERVED_MS)
+        starvation.update(view.jobs.values, clock.wallClockMs())
     }
 
     /** Whether a job has waited so long that nothing is reserved against it any more. */
-    fun isStarved(job: Job): Boolean = starvation.isStarved(job, clock.dayMs())
+    fun isStarved(job: Job): Boolean = starvation.isStarved(job, clock.wallClockMs())
 
     /**
      * How many more tasks of [job] its team's limit admits beside [usage]. Arrays leave a part of it to the team's
@@ -64,7 +64,7 @@
 
     /** [jobs] in the order in which they are served now, beside [usage]. */
     fun schedulingOrder(jobs: Collection<Job>, usage: TeamUsage): List<Job> {
-        val overdueBeforeMs = JobOrder.overdueBeforeMs(clock.dayMs())
+        val overdueBeforeMs = JobOrder.overdueBeforeMs(clock.wallClockMs())
         val recovery = zones()?.takeIf { it.isRecovering }
         return recovery?.sort(jobs, usage, overdueBeforeMs)
             ?: JobOrder.sort(jobs, guaranteed(), usage, overdueBeforeMs, ::hasObjective)
--- a/src/main/kotlin/flaxfield/controller/StoreContact.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreContact.kt
@@ -10,17 +10,17 @@
 
     /** The store has just answered with anything but an error. */
     fun noteResponse() {
-        lastResponseNs = clock.steadyNs()
+        lastResponseNs = clock.monotonicNs()
     }
 
     /** How long ago the last answer came. */
-    fun silenceNs(): Long = clock.steadyNs() - lastResponseNs
+    fun silenceNs(): Long = clock.monotonicNs() - lastResponseNs
 
     /**
      * Whether the store has not answered for so long that it seems out of reach, given the workers' lease. Renewals of
      * this process's own lease make it answer often: several of them in a row are without an answer then.
      */
-    fun isSilent(leaseS: Double): Boolean = silenceNs() > leaseS * SILENCE_SHARE * NANOS_PER_SECOND
+    fun isUnreachable(leaseS: Double): Boolean = silenceNs() > leaseS * SILENCE_SHARE * NANOS_PER_SECOND
 
     private companion object {
         /** The share of a worker's lease without an answer after which the store counts as silent. */
--- a/src/main/kotlin/flaxfield/controller/StoreReflector.kt
+++ b/src/main/kotlin/flaxfield/controller/StoreReflector.kt
@@ -36,7 +36,7 @@
      */
     private val watchGapNs = maxOf(
         (NANOS_PER_SECOND / (context.settings.stateLimits.rps * WATCH_SHARE / context.settings.size)).toLong(),
-        Controller.DECIDE_GAP_MS * NANOS_PER_MILLI,
+        Controller.MIN_DECISION_INTERVAL_MS * NANOS_PER_MILLI,
     )
 
     /** Begins to list; what was held before is forgotten. */
--- a/src/main/kotlin/flaxfield/controller/Subsystem.kt
+++ b/src/main/kotlin/flaxfield/controller/Subsystem.kt
@@ -19,7 +19,7 @@
     fun demands(): List<CapacityDemand>
 
     /** The change that records a loss of tasks, to be part of each transaction that commits one. */
-    fun lossMark(): Change
+    fun lossRecord(): Change
 }
 
 /** Makes the subsystem of one controller. */
--- a/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
+++ b/src/main/kotlin/flaxfield/controller/TransactionSubmitter.kt
@@ -50,7 +50,7 @@
     }
 
     /** Whether a transaction of [changes] changes for [cause] would be sent now: to be asked before it is built. */
-    fun mayWrite(cause: WriteCause, changes: Int): Boolean = budget.may(cause, changes, clock.steadyNs())
+    fun mayWrite(cause: WriteCause, changes: Int): Boolean = budget.may(cause, changes, clock.monotonicNs())
 
     /**
      * Sends a transaction if the budget allows one for [cause]; false, with nothing done, if not. The changed keys are
@@ -64,7 +64,7 @@
             reject(transaction, fault)
             return false
         }
-        if (!budget.take(cause, transaction.changes.size, clock.steadyNs())) return false
+        if (!budget.take(cause, transaction.changes.size, clock.monotonicNs())) return false
         send(cause, transaction, done)
         return true
     }
@@ -81,13 +81,13 @@
     }
 
     private fun isRejected(transaction: Transaction): Boolean = rejectedUntilNs.isNotEmpty() &&
-        transaction.changes.any { (rejectedUntilNs[it.key] ?: 0L) > clock.steadyNs() }
+        transaction.changes.any { (rejectedUntilNs[it.key] ?: 0L) > clock.monotonicNs() }
 
     /** A defect: whoever writes what is too large must split it. Its keys are left alone for a while, not retried. */
     private fun reject(transaction: Transaction, fault: String) {
         log.error("event=transaction_rejected keys={} reason={}", transaction.changes.map { it.key }, fault)
         if (rejectedUntilNs.size > MAX_REJECTED) rejectedUntilNs.clear()
-        val untilNs = clock.steadyNs() + (settings.workers.cancelS * NANOS_PER_SECOND).toLong()
+        val untilNs = clock.monotonicNs() + (settings.workers.cancelS * NANOS_PER_SECOND).toLong()
         for (change in transaction.changes) rejectedUntilNs[change.key] = untilNs
     }
 
--- a/src/main/kotlin/flaxfield/drain/Availability.kt
+++ b/src/main/kotlin/flaxfield/drain/Availability.kt
@@ -6,7 +6,7 @@
 import flaxfield.jobs.TaskId
 
 /** Why a task counts as unavailable. */
-enum class Absence {
+enum class UnavailabilityReason {
     /** A drain has evicted it, and it is not yet proven to run again. */
     DRAINED,
 
@@ -29,7 +29,7 @@
     /** What may be unavailable at once. */
     val allowed: Capacity,
     /** How many tasks are absent, by reason. */
-    val absences: Map<Absence, Int>,
+    val unavailableTasks: Map<UnavailabilityReason, Int>,
 ) {
     /** Whether [cost] may be disrupted in addition now. */
     fun permits(cost: Capacity): Boolean = (unavailable + cost).within(allowed)
@@ -43,7 +43,7 @@
     private class Totals {
         var expected = Capacity.NONE
         var unavailable = Capacity.NONE
-        val absences = HashMap<Absence, Int>()
+        val unavailableTasks = HashMap<UnavailabilityReason, Int>()
     }
 
     /** How each team with tasks, or with disruptions, stands. */
@@ -54,15 +54,15 @@
         ?: TeamAvailability(Capacity.NONE, Capacity.NONE, policy.allowed(team, Capacity.NONE), emptyMap())
 
     /** Why a task is unavailable; null if it is available, or its job has no capacity to lose. */
-    fun absence(job: Job, index: Int): Absence? {
+    fun absence(job: Job, index: Int): UnavailabilityReason? {
         val placed = job.placed(index)
         val drained = snapshot.ledgers[job.spec.team]?.entries?.containsKey(TaskId(job.id, index)) ?: false
         return when {
             !counts(job) || job.isDone(index) -> null
-            drained -> Absence.DRAINED
-            placed != null && placed.stopping -> Absence.STOPPING
-            job.isInterrupted(index) -> Absence.LOST
-            placed != null && isSilent(placed) -> Absence.SILENT
+            drained -> UnavailabilityReason.DRAINED
+            placed != null && placed.stopping -> UnavailabilityReason.STOPPING
+            job.isInterrupted(index) -> UnavailabilityReason.LOST
+            placed != null && isSilent(placed) -> UnavailabilityReason.SILENT
             else -> null
         }
     }
@@ -75,7 +75,7 @@
         for (job in snapshot.jobs.values) if (counts(job)) add(job, totals.getOrPut(job.spec.team) { Totals() })
         return totals.mapValues { (team, total) ->
             val allowed = policy.allowed(team, total.expected)
-            TeamAvailability(total.expected, total.unavailable, allowed, total.absences)
+            TeamAvailability(total.expected, total.unavailable, allowed, total.unavailableTasks)
         }
     }
 
@@ -85,7 +85,7 @@
         var absent = 0
         for (index in tasks) {
             val reason = absence(job, index) ?: continue
-            totals.absences.merge(reason, 1, Int::plus)
+            totals.unavailableTasks.merge(reason, 1, Int::plus)
             absent++
         }
         val perTask = Capacity.of(job.spec)
--- a/src/main/kotlin/flaxfield/drain/DisruptionBudgets.kt
+++ b/src/main/kotlin/flaxfield/drain/DisruptionBudgets.kt
@@ -8,7 +8,7 @@
     fun of(team: String): TeamAvailability = availability.of(team)
 
     /** Whether the class of the unit's job allows its tasks to be started again. */
-    fun allowsRestart(unit: DisruptionUnit): Boolean = policy.repeat(unit.job.spec.jobClass).allows(unit.job.spec)
+    fun allowsRestart(unit: DisruptionUnit): Boolean = policy.repeatPolicy(unit.job.spec.jobClass).allows(unit.job.spec)
 
     /** Whether the unit fits its team's budget while nothing else is unavailable. */
     fun everPermits(unit: DisruptionUnit): Boolean = of(unit.team).everPermits(unit.capacity)
--- a/src/main/kotlin/flaxfield/drain/DrainOrders.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainOrders.kt
@@ -24,7 +24,7 @@
 
     private fun write(drain: DrainRecord, done: (OrderResult<DrainRecord>) -> Unit) {
         val value = DrainCodec.encode(drain)
-        if (TransactionSize.json(value) > context.settings.stateLimits.valueKb * BYTES_PER_KIB * SELECTOR_SHARE) {
+        if (TransactionSize.jsonBytes(value) > context.settings.stateLimits.valueKb * BYTES_PER_KIB * SELECTOR_SHARE) {
             return done(OrderResult.Refused(OrderFault.INVALID, "the selector names too many machines"))
         }
         writer.write("drain ${drain.id}", FleetKeys.DRAIN + drain.id, drain.version, value) { result ->
--- a/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
+++ b/src/main/kotlin/flaxfield/drain/DrainReconciler.kt
@@ -96,7 +96,7 @@
     /** Those of [machines] without a write under way, as many as a bulk transaction of [maxChanges] takes now. */
     private fun writable(machines: List<Machine>, maxChanges: Int): List<Machine> = machines
         .filter { !context.transactions.isWritePending(StoreKeys.MACHINE + it.name) }
-        .take(context.transactions.budget.bulk(maxChanges))
+        .take(context.transactions.budget.maxBulkChanges(maxChanges))
 
     private fun put(machine: Machine) = Change.Put(StoreKeys.MACHINE + machine.name, FleetCodec.encode(machine))
 
--- a/src/main/kotlin/flaxfield/drain/EvictionPlanner.kt
+++ b/src/main/kotlin/flaxfield/drain/EvictionPlanner.kt
@@ -97,7 +97,7 @@
 
     private fun restartForbidden(budgets: DisruptionBudgets, unit: DisruptionUnit): WaitReason {
         val jobClass = unit.job.spec.jobClass
-        return WaitReason.RestartForbidden(unit.job.id, jobClass, budgets.policy.repeat(jobClass))
+        return WaitReason.RestartForbidden(unit.job.id, jobClass, budgets.policy.repeatPolicy(jobClass))
     }
 
     private fun largerThanBudget(budgets: DisruptionBudgets, unit: DisruptionUnit): WaitReason =
--- a/src/main/kotlin/flaxfield/drain/FleetControl.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetControl.kt
@@ -42,13 +42,13 @@
      */
     fun order(order: DrainOrder, done: (OrderResult<DrainRecord>) -> Unit) {
         if (!publisher.complete) return done(VIEW_INCOMPLETE)
-        orders.take(order, publisher.current, done)
+        orders.submit(order, publisher.current, done)
     }
 
     /** Takes an operator's order to abandon what [jobClass] had in the lost [zone], like [order]. */
     fun abandon(zone: String, jobClass: String, done: (OrderResult<AbandonOrder>) -> Unit) {
         if (!publisher.complete) return done(VIEW_INCOMPLETE)
-        abandons.take(zone, jobClass, publisher.current, done)
+        abandons.submit(zone, jobClass, publisher.current, done)
     }
 
     /** Replaces the fleet file that this controller publishes. Safe from any thread. */
@@ -81,7 +81,7 @@
         context.transactions.submit(WriteCause.FLEET, Transaction(mapOf(StoreKeys.ASSIGNMENT to term), changes))
     }
 
-    override fun lossMark(): Change =
+    override fun lossRecord(): Change =
         Change.Put(FleetKeys.LOSS + context.self.name, mapOf("run" to context.self.incarnation, "mark" to ++lossMarks))
 
     /**
--- a/src/main/kotlin/flaxfield/drain/FleetPolicy.kt
+++ b/src/main/kotlin/flaxfield/drain/FleetPolicy.kt
@@ -26,7 +26,7 @@
         configs.map { (it.budgets[team] ?: it.defaultBudget).allowed(expected) }.reduce(Capacity::min)
 
     /** Whether tasks of [jobClass] may be restarted. */
-    fun repeat(jobClass: String): RepeatPolicy = configs.minOf { it.classes[jobClass] ?: it.defaultRepeat }
+    fun repeatPolicy(jobClass: String): RepeatPolicy = configs.minOf { it.classes[jobClass] ?: it.defaultRepeat }
 
     /** The recovery tier of [jobClass] after the loss of a zone; null if no file names it. */
     fun recoveryTier(jobClass: String): Int? = configs.mapNotNull { it.recoveryTiers[jobClass] }.minOrNull()
--- a/src/main/kotlin/flaxfield/drain/OrderWriter.kt
+++ b/src/main/kotlin/flaxfield/drain/OrderWriter.kt
@@ -19,7 +19,7 @@
         value: Map<String, Any?>,
         done: (OrderResult<Unit>) -> Unit,
     ) {
-        if (context.storeContact.isSilent(
+        if (context.storeContact.isUnreachable(
                 context.settings.workers.leaseS,
             )
         ) {
--- a/src/main/kotlin/flaxfield/drain/SurgeDemand.kt
+++ b/src/main/kotlin/flaxfield/drain/SurgeDemand.kt
@@ -31,7 +31,7 @@
     private fun isEvictable(job: Job, policy: FleetPolicy, availability: Availability): Boolean {
         val unit = Capacity.of(job.spec) * (if (job.isGang) job.spec.taskCount else 1)
         return !job.cancelled &&
-            policy.repeat(job.spec.jobClass).allows(job.spec) &&
+            policy.repeatPolicy(job.spec.jobClass).allows(job.spec) &&
             availability.of(job.spec.team).everPermits(unit)
     }
 
--- a/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/RetirementPlanner.kt
@@ -59,7 +59,7 @@
         val candidates = context.view.machines.values
             .mapNotNull { retirement(it, workersHadTimeToReport) }
             .associateBy { it.machine.name }
-        val batchSize = context.transactions.budget.bulk(context.settings.stateLimits.txnOps)
+        val batchSize = context.transactions.budget.maxBulkChanges(context.settings.stateLimits.txnOps)
         val batch = ScaleInOrder.sort(context, candidates.values.map { it.machine })
             .take(batchSize)
             .mapNotNull { candidates[it.name] }
@@ -108,7 +108,7 @@
         val health = context.view.machineStatus(machine.name)?.state ?: return null
         return when {
             health == MachineHealth.SILENT ->
-                RetirementReason.SILENT.takeIf { context.zones?.mayReleaseSilent(machine) != false }
+                RetirementReason.SILENT.takeIf { context.zones?.mayReleaseUnreachable(machine) != false }
             health == MachineHealth.FAULTY -> RetirementReason.FAULTY
             health == MachineHealth.UNSEEN && workersHadTimeToReport && hasBootFailed(machine, machineType) ->
                 RetirementReason.BOOT_FAILED
--- a/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleInReconciler.kt
@@ -115,7 +115,7 @@
         val deletable = returned.mapNotNull { view.machines[it] }.filter {
             view.isEmpty(it.name) && !context.transactions.isWritePending(StoreKeys.MACHINE + it.name)
         }
-        for (batch in deletable.chunked(context.transactions.budget.bulk(context.settings.stateLimits.txnOps))) {
+        for (batch in deletable.chunked(context.transactions.budget.maxBulkChanges(context.settings.stateLimits.txnOps))) {
             val versions = batch.associate { StoreKeys.MACHINE + it.name to it.version }
             val deletions = batch.map { Change.Delete(StoreKeys.MACHINE + it.name) }
             val transaction = Transaction(JobTransactions.assignmentFence(context) + versions, deletions)
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutPlanner.kt
@@ -114,7 +114,7 @@
     private fun freeWithoutBackfill(machine: Machine): Resources? {
         val free = context.view.free(machine) ?: return null
         return context.view.jobsOn(machine.name).filter { isBackfill(it, machine) }.fold(free) { sum, job ->
-            sum + job.spec.taskResources * context.view.countOn(machine.name, job.id)
+            sum + job.spec.taskResources * context.view.taskCountOn(machine.name, job.id)
         }
     }
 
--- a/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
+++ b/src/main/kotlin/flaxfield/fleet/ScaleOutReconciler.kt
@@ -94,7 +94,7 @@
         val machineNames = grantedMachines[rental.name].orEmpty()
         if (machineNames.any { context.transactions.isWritePending(StoreKeys.MACHINE + it) }) return
         val missing = machineNames.filter { it !in context.view.machines }
-        val batchSize = context.transactions.budget.bulk(context.settings.stateLimits.txnOps - 1)
+        val batchSize = context.transactions.budget.maxBulkChanges(context.settings.stateLimits.txnOps - 1)
         val batch = missing.take(batchSize)
         val puts = batch.map {
             Change.Put(StoreKeys.MACHINE + it, FleetCodec.encode(newMachine(it, rental)))
--- a/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
+++ b/src/main/kotlin/flaxfield/gangs/GangSchedulingCycle.kt
@@ -109,7 +109,7 @@
     private fun countReclaimableTasks(job: Job, isGuaranteed: Boolean, other: Job, machineName: String): Int {
         val view = context.view
         return when {
-            other.cancelled || mayEvict(job, isGuaranteed, other) -> view.countOn(machineName, other.id)
+            other.cancelled || mayEvict(job, isGuaranteed, other) -> view.taskCountOn(machineName, other.id)
             other.id in view.halting -> view.on(machineName).count { it.job.id == other.id && it.placed.stopping }
             else -> 0
         }
--- a/src/main/kotlin/flaxfield/jobs/FinishedJobSweeper.kt
+++ b/src/main/kotlin/flaxfield/jobs/FinishedJobSweeper.kt
@@ -25,11 +25,11 @@
     }
 
     private fun deleteStrayChunks() {
-        val strayChunks = context.view.strayChunks.keys.filter {
+        val orphanedChunks = context.view.orphanedChunks.keys.filter {
             !context.transactions.isWritePending(StoreKeys.JOB_CHUNK + it)
         }
-        if (strayChunks.isEmpty()) return
-        val deletions = strayChunks.take(maxDeletionsPerTransaction).map { Change.Delete(StoreKeys.JOB_CHUNK + it) }
+        if (orphanedChunks.isEmpty()) return
+        val deletions = orphanedChunks.take(maxDeletionsPerTransaction).map { Change.Delete(StoreKeys.JOB_CHUNK + it) }
         context.transactions.submit(WriteCause.ROOM, Transaction(JobTransactions.assignmentFence(context), deletions))
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobSubmitter.kt
@@ -37,7 +37,7 @@
             log.info("event=submission_malformed reason=\"{}\"", e.message)
             return responder.send(JobResponse.Malformed(e.message ?: "malformed"))
         }
-        if (TransactionSize.json(JobCodec.encodeSpec(spec)) > maxSpecBytes) {
+        if (TransactionSize.jsonBytes(JobCodec.encodeSpec(spec)) > maxSpecBytes) {
             return responder.send(JobResponse.Malformed("flavors is too long"))
         }
         val finished = reader.findCached(spec.id)
@@ -48,7 +48,7 @@
         }
         val rejection = JobAdmission.rejectionReason(spec, context.settings.teams, context.view.machineTypes)
         if (rejection != null) return reject(spec, rejection, responder)
-        if (context.storeContact.isSilent(context.settings.workers.leaseS)) {
+        if (context.storeContact.isUnreachable(context.settings.workers.leaseS)) {
             return responder.send(JobResponse.Unavailable(STORE_UNREACHABLE))
         }
         accept(newJob(spec), responder, mayPlace = true)
--- a/src/main/kotlin/flaxfield/jobs/JobTransactions.kt
+++ b/src/main/kotlin/flaxfield/jobs/JobTransactions.kt
@@ -90,7 +90,7 @@
      * their machines. No drain evicts tasks on the basis of a view that lacks this mark.
      */
     fun withLossMark(context: ControllerContext, transaction: Transaction): Transaction {
-        val mark = context.subsystem?.lossMark() ?: return transaction
+        val mark = context.subsystem?.lossRecord() ?: return transaction
         return transaction.copy(changes = transaction.changes + mark)
     }
 }
--- a/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
+++ b/src/main/kotlin/flaxfield/jobs/LinearizableJobReader.kt
@@ -38,12 +38,12 @@
      */
     private val readGapNs = maxOf(
         (NANOS_PER_SECOND / (context.settings.stateLimits.rps * READ_SHARE / context.settings.size)).toLong(),
-        READ_GAP_DECISIONS * Controller.DECIDE_GAP_MS * NANOS_PER_MILLI,
+        READ_GAP_DECISIONS * Controller.MIN_DECISION_INTERVAL_MS * NANOS_PER_MILLI,
     )
 
     /** Reads the job with this [id]. Calls [done] exactly once, possibly before it returns. */
     fun read(id: String, done: (JobReadResult) -> Unit) {
-        if (context.storeContact.isSilent(context.settings.workers.leaseS)) {
+        if (context.storeContact.isUnreachable(context.settings.workers.leaseS)) {
             return done(JobReadResult.Unavailable(STORE_UNREACHABLE))
         }
         if (waiters.size >= MAX_WAITERS) return done(JobReadResult.Unavailable("too many requests"))
--- a/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
+++ b/src/main/kotlin/flaxfield/jobs/TaskEventCommitter.kt
@@ -111,7 +111,7 @@
 
     /** Whether to commit completions of an array now: unless writes are plentiful, they are batched for a while. */
     private fun isBatchDue(jobEvents: PendingEvents, anyTaskPending: () -> Boolean): Boolean {
-        if (context.transactions.budget.ample(context.nowNs)) return true
+        if (context.transactions.budget.hasAmpleWrites(context.nowNs)) return true
         val heartbeats = if (anyTaskPending()) BATCH_HEARTBEATS_IF_PENDING else BATCH_HEARTBEATS
         val waitNs = (context.settings.workers.heartbeatIntervalS * heartbeats * NANOS_PER_SECOND).toLong()
         val dueNs = jobEvents.sinceNs + waitNs
--- a/src/main/kotlin/flaxfield/net/ConnectionQuotas.kt
+++ b/src/main/kotlin/flaxfield/net/ConnectionQuotas.kt
@@ -9,7 +9,7 @@
     /** Incoming connections of users that workers can't take. */
     val reservedForUsers: Int,
     /** Outgoing requests to workers at once. */
-    val direct: Int,
+    val directCommands: Int,
     /** Connections that wait to be accepted: after a restart all workers connect at once. */
     val backlog: Int,
 ) {
--- a/src/main/kotlin/flaxfield/net/OutboundQueue.kt
+++ b/src/main/kotlin/flaxfield/net/OutboundQueue.kt
@@ -21,7 +21,7 @@
      * Flushes if the oldest entry has waited too long. Called within long batches, so that lease renewals and responses
      * to workers are not delayed until their end.
      */
-    fun flushLate() {
+    fun flushIfOverdue() {
         if (pending.isNotEmpty() && System.nanoTime() - oldestNs > MAX_DELAY_NS) flush()
     }
 
--- a/src/main/kotlin/flaxfield/operator/BudgetResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/BudgetResponses.kt
@@ -1,6 +1,6 @@
 package flaxfield.operator
 
-import flaxfield.drain.Absence
+import flaxfield.drain.UnavailabilityReason
 import flaxfield.drain.Availability
 import flaxfield.drain.FleetSnapshot
 import flaxfield.drain.TeamAvailability
@@ -22,8 +22,8 @@
 
     private fun budget(team: String, availability: TeamAvailability): Budget {
         val byDrain = snapshot.ledgers[team]?.entries?.values.orEmpty().groupingBy { it.drain }.eachCount()
-        val byOtherCause = availability.absences
-            .filterKeys { it != Absence.DRAINED }
+        val byOtherCause = availability.unavailableTasks
+            .filterKeys { it != UnavailabilityReason.DRAINED }
             .mapKeys { it.key.name.lowercase() }
         val byCause = byDrain.toSortedMap() + byOtherCause.toSortedMap()
         return Budget.newBuilder()
--- a/src/main/kotlin/flaxfield/operator/FleetFiles.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetFileLoader.kt
@@ -17,7 +17,7 @@
 import java.io.IOException
 
 /** Reads fleet files, and validates them against their schema and the platform's settings. */
-object FleetFiles {
+object FleetFileLoader {
     private const val SCHEMA = "/schema/fleet-1.schema.json"
     private const val DEFAULT_SURGE_MACHINES = 2
     private const val UNLIMITED = Int.MAX_VALUE
@@ -50,7 +50,7 @@
     }
 
     private fun schema(): JsonSchema {
-        val stream = checkNotNull(FleetFiles::class.java.getResourceAsStream(SCHEMA)) { "no $SCHEMA in the jar" }
+        val stream = checkNotNull(FleetFileLoader::class.java.getResourceAsStream(SCHEMA)) { "no $SCHEMA in the jar" }
         return stream.use { JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(it) }
     }
 
--- a/src/main/kotlin/flaxfield/operator/FleetLauncher.kt
+++ b/src/main/kotlin/flaxfield/operator/FleetLauncher.kt
@@ -25,7 +25,7 @@
      */
     fun serve(operator: OperatorSettings, incarnation: String): Nothing {
         val file = try {
-            FleetFiles.load(path, settings)
+            FleetFileLoader.load(path, settings)
         } catch (e: FleetFileException) {
             for (fault in e.faults) System.err.println("flaxfield: $fault")
             exitProcess(EXIT_USAGE)
@@ -57,7 +57,7 @@
     /** Reads the file again. An invalid one is refused as a whole, and the previous one stays in force. */
     private fun reload(first: FleetFile, control: FleetControl) {
         try {
-            val file = FleetFiles.load(path, settings)
+            val file = FleetFileLoader.load(path, settings)
             if (file.listen != first.listen) {
                 log.warn("event=fleet_listen_unchanged file={} address={} reason=needs_restart", path, first.listen)
             }
--- a/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
+++ b/src/main/kotlin/flaxfield/operator/ZoneResponses.kt
@@ -56,7 +56,7 @@
         FairShare.newBuilder()
             .setTeam(share.team)
             .setTarget(share.target.toMessage())
-            .setHeld(share.held.toMessage())
+            .setHeld(share.allocated.toMessage())
             .setShortfall(share.shortfall)
             .build()
     }
--- a/src/main/kotlin/flaxfield/store/ClusterView.kt
+++ b/src/main/kotlin/flaxfield/store/ClusterView.kt
@@ -39,7 +39,7 @@
     val gangs: Set<String> = records.jobs.gangs
 
     /** Chunks whose head is not in the view, by `job/number`: listed before it, or left over by a finished job. */
-    val strayChunks: Map<String, JobChunk> = records.jobs.strayChunks
+    val orphanedChunks: Map<String, JobChunk> = records.jobs.orphanedChunks
 
     /** The machines by name. */
     val machines: Map<String, Machine> = records.machines.byName
@@ -75,7 +75,7 @@
     fun version(key: String): ULong = records.versions[key] ?: 0uL
 
     /** All task records on [machineName]. */
-    fun on(machineName: String): List<PlacedTask> = records.placements.tasksOn(machineName, jobs)
+    fun on(machineName: String): List<PlacedTask> = records.placements.taskCountOn(machineName, jobs)
 
     /** Whether there is no task record on [machineName]. */
     fun isEmpty(machineName: String): Boolean = records.placements.isEmpty(machineName)
@@ -85,10 +85,10 @@
         records.placements.jobIdsOn(machineName)?.mapNotNull { jobs[it] }.orEmpty()
 
     /** How many records [job] has on [machineName]. */
-    fun countOn(machineName: String, job: String): Int = records.placements.countOn(machineName, job)
+    fun taskCountOn(machineName: String, job: String): Int = records.placements.taskCountOn(machineName, job)
 
     /** How many records there are on [machineName]. */
-    fun tasksOn(machineName: String): Int = records.placements.countOn(machineName)
+    fun taskCountOn(machineName: String): Int = records.placements.taskCountOn(machineName)
 
     /** What the task records leave free on a machine; null if its type is unknown. */
     fun free(machine: Machine): Resources? = records.placements.free(machine, machineTypes, jobs)
--- a/src/main/kotlin/flaxfield/store/JobRecords.kt
+++ b/src/main/kotlin/flaxfield/store/JobRecords.kt
@@ -22,7 +22,7 @@
     val byId = LinkedHashMap<String, Job>()
 
     /** Chunks without a head, by `job/number`: listed before their head, or left over by a finished job. */
-    val strayChunks = HashMap<String, JobChunk>()
+    val orphanedChunks = HashMap<String, JobChunk>()
 
     /** The ids of jobs of which some task is to leave its machine: cancelled, or told to stop. */
     val halting = HashSet<String>()
@@ -32,7 +32,7 @@
 
     fun clear() {
         byId.clear()
-        strayChunks.clear()
+        orphanedChunks.clear()
         halting.clear()
         gangs.clear()
         version++
@@ -59,7 +59,7 @@
         val chunk = value?.let { JobCodec.decodeChunk(it, version) }
         val job = byId[id]
         if (job == null) {
-            if (chunk == null) strayChunks.remove(name) else strayChunks[name] = chunk
+            if (chunk == null) orphanedChunks.remove(name) else orphanedChunks[name] = chunk
             return
         }
         val chunks = if (chunk == null) job.chunks - number else job.chunks + (number to chunk)
@@ -69,7 +69,7 @@
     /** Chunks of a deleted head are strays for as long as their own keys exist. */
     private fun removeHead(id: String, old: Job?) {
         for ((number, chunk) in old?.chunks.orEmpty()) {
-            if (number != 0 && versions.containsKey(StoreKeys.chunk(id, number))) strayChunks["$id/$number"] = chunk
+            if (number != 0 && versions.containsKey(StoreKeys.chunk(id, number))) orphanedChunks["$id/$number"] = chunk
         }
         replace(id, old, null, old?.chunks?.keys.orEmpty())
     }
@@ -77,8 +77,8 @@
     /** Removes and returns, by number, the chunks of [id] that came before its head. */
     private fun takeStrayChunks(id: String): Map<Int, JobChunk> {
         val taken = LinkedHashMap<Int, JobChunk>()
-        for (name in strayChunks.keys.filter { it.startsWith("$id/") }) {
-            val chunk = strayChunks.remove(name) ?: continue
+        for (name in orphanedChunks.keys.filter { it.startsWith("$id/") }) {
+            val chunk = orphanedChunks.remove(name) ?: continue
             taken[name.substringAfter('/').toInt()] = chunk
         }
         return taken
--- a/src/main/kotlin/flaxfield/store/PlacementIndex.kt
+++ b/src/main/kotlin/flaxfield/store/PlacementIndex.kt
@@ -35,7 +35,7 @@
     }
 
     /** All task records on [machineName], each with its job out of [jobs]. */
-    fun tasksOn(machineName: String, jobs: Map<String, Job>): List<PlacedTask> {
+    fun taskCountOn(machineName: String, jobs: Map<String, Job>): List<PlacedTask> {
         val jobsThere = byMachine[machineName] ?: return emptyList()
         val result = ArrayList<PlacedTask>()
         for ((id, tasks) in jobsThere) {
@@ -52,10 +52,10 @@
     fun jobIdsOn(machineName: String): Set<String>? = byMachine[machineName]?.keys
 
     /** How many records of [jobId] there are on [machineName]. */
-    fun countOn(machineName: String, jobId: String): Int = byMachine[machineName]?.get(jobId)?.size ?: 0
+    fun taskCountOn(machineName: String, jobId: String): Int = byMachine[machineName]?.get(jobId)?.size ?: 0
 
     /** How many records there are on [machineName]. */
-    fun countOn(machineName: String): Int = byMachine[machineName]?.values?.sumOf { it.size } ?: 0
+    fun taskCountOn(machineName: String): Int = byMachine[machineName]?.values?.sumOf { it.size } ?: 0
 
     /** What the records leave free on [machine]; null if its type is not among [machineTypes]. */
     fun free(machine: Machine, machineTypes: Map<String, MachineType>, jobs: Map<String, Job>): Resources? {
--- a/src/main/kotlin/flaxfield/store/StoreBudget.kt
+++ b/src/main/kotlin/flaxfield/store/StoreBudget.kt
@@ -12,13 +12,13 @@
     private val upkeep = TokenBucket(limits.writeRps * SAFE_SHARE * UPKEEP_SHARE, controllers, UPKEEP_CAPACITY_S)
 
     /** Whether changes are plentiful now: nothing needs to be batched to save them. */
-    fun ample(nowNs: Long): Boolean {
+    fun hasAmpleWrites(nowNs: Long): Boolean {
         writes.refill(nowNs)
         return writes.tokens >= writes.rate * AMPLE_SHARE
     }
 
     /** How many changes one bulk write may have, at most [max]: more would keep all others waiting for seconds. */
-    fun bulk(max: Int): Int = minOf(max, (writes.rate * BULK_S).toInt().coerceAtLeast(MIN_BULK))
+    fun maxBulkChanges(max: Int): Int = minOf(max, (writes.rate * BULK_S).toInt().coerceAtLeast(MIN_BULK))
 
     /** From here on the controller holds itself to [share] of the two limits. */
     fun setShare(share: RateShare) {
--- a/src/main/kotlin/flaxfield/store/TransactionSize.kt
+++ b/src/main/kotlin/flaxfield/store/TransactionSize.kt
@@ -36,7 +36,7 @@
     fun fault(transaction: Transaction, limits: StateLimits): String? {
         var total = transaction.conditions.keys.sumOf { it.length + OVERHEAD_BYTES }
         for (change in transaction.changes) {
-            val valueBytes = if (change is Change.Put) json(change.value) else 0
+            val valueBytes = if (change is Change.Put) jsonBytes(change.value) else 0
             if (valueBytes > limits.valueKb * BYTES_PER_KIB) return "value of ${change.key} takes $valueBytes bytes"
             if (change.key.length > MAX_KEY_BYTES) return "key ${change.key} is too long"
             total += valueBytes + change.key.length + OVERHEAD_BYTES
@@ -52,12 +52,12 @@
     }
 
     /** How many bytes [value] takes as JSON; an upper bound where text has to be escaped. */
-    fun json(value: Any?): Int = when (value) {
+    fun jsonBytes(value: Any?): Int = when (value) {
         null -> NULL_BYTES
         is Map<*, *> ->
             ENCLOSING_BYTES +
-                value.entries.sumOf { (key, item) -> text(key.toString()) + COLON_BYTES + json(item) + COMMA_BYTES }
-        is Collection<*> -> ENCLOSING_BYTES + value.sumOf { json(it) + COMMA_BYTES }
+                value.entries.sumOf { (key, item) -> text(key.toString()) + COLON_BYTES + jsonBytes(item) + COMMA_BYTES }
+        is Collection<*> -> ENCLOSING_BYTES + value.sumOf { jsonBytes(it) + COMMA_BYTES }
         is String -> text(value)
         is Boolean -> if (value) TRUE_BYTES else FALSE_BYTES
         else -> value.toString().length
--- a/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
+++ b/src/main/kotlin/flaxfield/workers/HeartbeatHandler.kt
@@ -67,7 +67,7 @@
      */
     private fun respondWithoutTerm(heartbeat: Heartbeat, responder: Responder) {
         val viewIsBehind = context.view.assignment?.let { heartbeat.fencingToken > it.term } ?: false
-        val storeIsUnresponsive = context.storeContact.isSilent(context.settings.workers.leaseS)
+        val storeIsUnresponsive = context.storeContact.isUnreachable(context.settings.workers.leaseS)
         if (!viewIsBehind && (storeIsUnresponsive || isLeaderless()) && responses.mayRenew()) {
             return responses.renewWithoutDecision(heartbeat, heartbeat.fencingToken, responder)
         }
--- a/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
+++ b/src/main/kotlin/flaxfield/workers/WorkerHealth.kt
@@ -52,7 +52,7 @@
      * that do not reach their owners.
      */
     fun zoneCoverage(): Map<String, ZoneCoverage> {
-        val windowNs = (context.settings.workers.leaseS * ZoneTimes.SILENT_LEASES * NANOS_PER_SECOND).toLong()
+        val windowNs = (context.settings.workers.leaseS * ZoneTimes.HEARTBEAT_TIMEOUT_LEASES * NANOS_PER_SECOND).toLong()
         val sinceNs = context.nowNs - windowNs
         val ownsLongEnough = ownerSinceNs <= sinceNs
         val own = countReporting(sinceNs).mapValues { (_, count) ->
--- a/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
+++ b/src/main/kotlin/flaxfield/zones/AbandonOrders.kt
@@ -16,7 +16,7 @@
     private val writer = OrderWriter(context)
 
     /** Records an order about [jobClass] in [zone], judged by [snapshot]; [done] is called on the owner thread. */
-    fun take(zone: String, jobClass: String, snapshot: FleetSnapshot, done: (OrderResult<AbandonOrder>) -> Unit) {
+    fun submit(zone: String, jobClass: String, snapshot: FleetSnapshot, done: (OrderResult<AbandonOrder>) -> Unit) {
         val record = snapshot.zones[zone]
         if (record == null || record.incarnation == 0L) {
             return done(OrderResult.Refused(OrderFault.CONFLICT, "zone $zone has not been lost"))
--- a/src/main/kotlin/flaxfield/zones/FairShares.kt
+++ b/src/main/kotlin/flaxfield/zones/FairShares.kt
@@ -13,13 +13,13 @@
 )
 
 /** A team's fair share of the available capacity, and what it has. */
-data class TeamShare(val team: String, val target: Capacity, val held: Capacity) {
+data class TeamShare(val team: String, val target: Capacity, val allocated: Capacity) {
     /** How far the team is below its target, as a share of it by its dominant resource; 0 if it has at least that. */
     val shortfall: Double
-        get() = maxOf(missing(target.cpus, held.cpus), missing(target.accelerators, held.accelerators))
+        get() = maxOf(missing(target.cpus, allocated.cpus), missing(target.accelerators, allocated.accelerators))
 
-    private fun missing(target: Double, held: Double): Double =
-        if (target <= 0.0) 0.0 else ((target - held) / target).coerceAtLeast(0.0)
+    private fun missing(target: Double, allocated: Double): Double =
+        if (target <= 0.0) 0.0 else ((target - allocated) / target).coerceAtLeast(0.0)
 }
 
 /**
--- a/src/main/kotlin/flaxfield/zones/FleetZoneRules.kt
+++ b/src/main/kotlin/flaxfield/zones/FleetZoneRules.kt
@@ -29,7 +29,7 @@
 
     override fun tier(spec: JobSpec): Int = policy()?.recoveryTier(spec.jobClass) ?: PriorityTiers.tier(spec)
 
-    override fun forbidsRepeat(spec: JobSpec): Boolean = policy()?.repeat(spec.jobClass) == RepeatPolicy.NEVER
+    override fun forbidsRepeat(spec: JobSpec): Boolean = policy()?.repeatPolicy(spec.jobClass) == RepeatPolicy.NEVER
 
     override fun isAbandoned(job: Job, zone: String, incarnation: Long): Boolean =
         snapshot().abandons[AbandonOrder.name(zone, job.spec.jobClass)]?.covers(job, incarnation) ?: false
--- a/src/main/kotlin/flaxfield/zones/ZoneRecovery.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneRecovery.kt
@@ -59,7 +59,7 @@
      * tasks are released at once, those of each further tier a stage later, and empty ones last. If the zone returns
      * between two stages, less urgent tasks are still on their machines and no others have been rented for them.
      */
-    fun mayReleaseSilent(machine: Machine): Boolean {
+    fun mayReleaseUnreachable(machine: Machine): Boolean {
         val record = view.zones[machine.zone]?.takeIf { it.state == ZoneState.LOST } ?: return true
         val tier = view.jobsOn(machine.name).minOfOrNull { rules.tier(it.spec) } ?: Int.MAX_VALUE
         val moreUrgentTiers = unfinishedTiers().count { it < tier }
--- a/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
+++ b/src/main/kotlin/flaxfield/zones/ZoneTimes.kt
@@ -7,10 +7,10 @@
     private val leaseMs = leaseS * MILLIS_PER_SECOND
 
     /**
-     * From suspicion to loss. With [SILENT_LEASES] before it, the silence has then lasted for a whole lease: leases
+     * From suspicion to loss. With [HEARTBEAT_TIMEOUT_LEASES] before it, the silence has then lasted for a whole lease: leases
      * that were not renewed have expired, and a shorter partition moves nothing.
      */
-    val confirmMs: Long = (leaseMs * (1.0 - SILENT_LEASES)).toLong()
+    val confirmMs: Long = (leaseMs * (1.0 - HEARTBEAT_TIMEOUT_LEASES)).toLong()
 
     /** How long a silent zone is left alone before it is tried again: its machines have all been returned by then. */
     val retryMs: Long = (leaseMs * RETRY_LEASES).toLong()
@@ -27,7 +27,7 @@
 
     companion object {
         /** A machine without a heartbeat for this share of a lease, about two heartbeat intervals, counts as silent. */
-        const val SILENT_LEASES = 0.4
+        const val HEARTBEAT_TIMEOUT_LEASES = 0.4
 
         /** Relapses beyond this number make no difference. */
         const val MAX_RELAPSES = 2
