--- a/src/test/kotlin/flaxfield/digest/BehaviourDigest.kt
+++ b/src/test/kotlin/flaxfield/digest/BehaviourDigest.kt
@@ -26,17 +26,22 @@
  *
  *     suite seed kind sha256 events
  *
- * `kind` is the method's name and its other arguments, without spaces; `seed` is `-` if the method has none. The hash
- * covers each message in the order sent, with its virtual time, sender, path or status, and bytes: the controllers'
- * requests to the state service and the cloud, their direct commands to workers, the messages between controllers, and
- * the requests to controllers (of users, and workers' heartbeats) with the responses. Operators' requests are covered by
- * the writes that they cause. If the test fails, the row ends in `FAILED` and the type of the error, and the hash covers
- * the messages up to the failure.
+ * `kind` is the method's name and its other arguments, without spaces; `seed` is `-` if the method has none. If the
+ * test fails, the row ends in `FAILED` and the type of the error, and the hash covers the messages up to the failure.
  *
- * Identity hash codes must be the same in each run (`-XX:hashCode=2`, which the script sets): when the state service is
+ * The hash covers these messages in the order sent, each with its virtual time, sender, path or status, and bytes:
+ *
+ * - the controllers' requests to the state service and the cloud
+ * - their direct commands to workers
+ * - the messages between controllers
+ * - the requests of users and the heartbeats of workers to controllers, with the responses
+ *
+ * It does not cover operators' requests, but the writes that they cause.
+ *
+ * Identity hash codes must be the same in each run, so the script sets `-XX:hashCode=2`. When the state service is
  * unreachable, `LinearizableJobReader` fails the waiting reads in the order of a `HashSet` of objects that do not override
- * `hashCode`. These responses go to different users at the same instant, but otherwise in a different order in each
- * process.
+ * `hashCode`. The responses go to different users at the same instant. Without the option, their order would differ in
+ * each process.
  *
  * Usage, with Maven offline:
  *
@@ -44,8 +49,8 @@
  *     diff src/test/resources/digest/44a1062.txt OUT
  *
  * `SUITE` is the simple name of a suite. If the directory `TRACES` is given, the messages of each row are written there
- * as text, in one file of about 10 MB per row, so that a diff shows the first message that differs. CI does not run
- * this.
+ * as text, in one file of about 10 MB per row. A diff of two such files shows the first message that differs. CI does
+ * not run this.
  */
 fun main(args: Array<String>) {
     require(args.isNotEmpty()) { "usage: BehaviourDigest OUT [SUITE|all] [THREADS] [TRACES]" }
--- a/src/test/kotlin/flaxfield/golden/WorkerProtocol.kt
+++ b/src/test/kotlin/flaxfield/golden/WorkerProtocol.kt
@@ -33,6 +33,7 @@
         "no_room" to EndCause.NO_ROOM,
         "in_use" to EndCause.IN_USE,
         "unknown" to EndCause.UNKNOWN,
+        // An undefined cause is decoded as an error.
         "not heard of" to EndCause.ERROR,
     )
 
--- a/src/test/kotlin/flaxfield/sim/SimCloud.kt
+++ b/src/test/kotlin/flaxfield/sim/SimCloud.kt
@@ -9,7 +9,7 @@
  * Simulates the cloud: rents machines of one type and takes them back, limits the request rate, and lists its machines
  * as they were [lagS] ago.
  *
- * @property capacity how many on-demand and how many preemptible machines each zone has
+ * @property capacity the number of on-demand machines by zone; each zone has as many preemptible ones
  * @property createWorker creates the worker of a new machine; the cloud starts it when the machine has booted
  */
 class SimCloud(
--- a/src/test/kotlin/flaxfield/sim/SimulationTest.kt
+++ b/src/test/kotlin/flaxfield/sim/SimulationTest.kt
@@ -232,7 +232,7 @@
             cluster.invariants.rejectedStarts * 50 <= cluster.invariants.starts,
             "${cluster.invariants.rejectedStarts} of ${cluster.invariants.starts} starts rejected",
         )
-        // 5,000 tasks at once would need 80 machines. Short tasks on fewer machines finish as soon.
+        // 5,000 tasks at once would need 80 machines. Short tasks finish just as early on fewer machines.
         assertTrue(cluster.cloud.machinesRented < 50, "${cluster.cloud.machinesRented} machines rented")
     }
 
--- a/src/test/kotlin/flaxfield/training/ControllerClassListRun.kt
+++ b/src/test/kotlin/flaxfield/training/ControllerClassListRun.kt
@@ -26,9 +26,9 @@
 
 /**
  * Runs two real controllers on loopback against a simulated state service, cloud, workers and users for a few seconds.
- * The build puts the classes that this loads into the class-data archive: those of a start, of the first view and of
- * ordinary scheduling. A run whose requests are not answered leaves out the HTTP codec, the CBOR codec and most of the
- * scheduling code.
+ * The build puts the loaded classes into the class-data archive. They cover the start, the first view and ordinary
+ * scheduling. Without responses to its requests, a controller would not load the HTTP codec, the CBOR codec and most of
+ * the scheduling code.
  */
 fun main() {
     val nodes = listOf(LoopbackController("node-a", "a"), LoopbackController("node-b", "a"))
--- a/src/test/kotlin/flaxfield/training/PopulatedStateService.kt
+++ b/src/test/kotlin/flaxfield/training/PopulatedStateService.kt
@@ -24,8 +24,9 @@
 private const val CHUNK_TASKS = 64
 
 /**
- * Runs a simulated state service with the records of a busy deployment on the given port until it is killed.
- * `tools/start-cost.sh` uses it to measure the cost of starting a controller until it has listed the view.
+ * Runs a simulated state service with the records of a busy deployment on the given port until the process is killed.
+ * `tools/start-cost.sh` uses it to measure the cost of starting a controller, up to the point where it has loaded all
+ * records into its view.
  */
 fun main(arguments: Array<String>) {
     val port = arguments.single().toInt()
